--- a/Source/coordination/entry_coordinator.h
+++ b/Source/coordination/entry_coordinator.h
@@ -142,7 +142,7 @@
     std::map<std::uint64_t, waiting_answer> m_waitingPlans;
     boost::asio::steady_timer m_planTimer;
     bool m_planTimerArmed = false;
-    std::optional<limit_owner> m_limits;
+    std::optional<rate_limiter> m_limits;
     std::set<std::string> m_limited;
     std::map<std::uint64_t, waiting_answer> m_waiting;
     std::uint64_t m_lastTicket = 0;
--- a/Source/coordination/entry_coordinator_limits.cpp
+++ b/Source/coordination/entry_coordinator_limits.cpp
@@ -44,7 +44,7 @@
     }
     auto ticket = ++m_lastTicket;
     m_waiting[ticket] = { from, message };
-    m_limits->ask({ asked.organisation(), asked.need(), asked.ahead(), milliseconds(asked.patience_ms()), ticket }, m_clock.now());
+    m_limits->submit({ asked.organisation(), asked.need(), asked.ahead(), milliseconds(asked.patience_ms()), ticket }, m_clock.now());
     answerLimits();
 }
 
@@ -52,7 +52,7 @@
 {
     if (!m_limits)
         return;
-    for (const auto& verdict : m_limits->step(m_clock.now())) {
+    for (const auto& verdict : m_limits->collectDecisions(m_clock.now())) {
         auto found = m_waiting.find(verdict.ticket);
         if (found == m_waiting.end())
             continue;
@@ -64,7 +64,7 @@
         peer_network::reply(found->second.peer, found->second.call, std::move(reply));
         m_waiting.erase(found);
     }
-    if (!m_limits->hasWaiting() || m_limitTimerArmed)
+    if (!m_limits->hasQueuedRequests() || m_limitTimerArmed)
         return;
     m_limitTimerArmed = true;
     m_limitTimer.expires_after(limitInterval);
--- a/Source/coordination/token_account.cpp
+++ b/Source/coordination/token_account.cpp
@@ -84,10 +84,10 @@
     auto found = m_allowances.find(one.organisation);
     if (found == m_allowances.end()) {
         found = m_allowances.emplace(one.organisation, token_bucket(rate, burst, m_clock.now())).first;
-        found->second.giveBack(burst, m_clock.now());
+        found->second.refund(burst, m_clock.now());
     }
     found->second.configure(rate, burst, m_clock.now());
-    return found->second.take(one.tokens, m_clock.now());
+    return found->second.tryConsume(one.tokens, m_clock.now());
 }
 
 } // namespace pistachiolatch
--- a/Source/entry/limit_client.cpp
+++ b/Source/entry/limit_client.cpp
@@ -23,11 +23,11 @@
         answer({ false, reason::NoLimit, milliseconds(0) });
         return;
     }
-    if (tokens > token_bucket::capacityOf(limit->rate, limit->burst)) {
+    if (tokens > token_bucket::computeCapacity(limit->rate, limit->burst)) {
         answer({ false, reason::RequestExceedsBurst, milliseconds(0) });
         return;
     }
-    if (m_cache.take(organisation, tokens, m_loop.now())) {
+    if (m_cache.tryConsume(organisation, tokens, m_loop.now())) {
         answer({ true, reason::OverRate, milliseconds(0) });
         return;
     }
@@ -49,7 +49,7 @@
     request->set_epoch(owner->epoch());
     request->set_organisation(one.organisation);
     request->set_need(one.tokens);
-    request->set_ahead(m_cache.ahead(one.organisation, m_loop.now()));
+    request->set_ahead(m_cache.estimateDemand(one.organisation, m_loop.now()));
     request->set_patience_ms(static_cast<std::uint32_t>(m_patience.count()));
     auto askedAt = m_loop.now();
     auto timeout = m_patience + milliseconds(500);
@@ -103,7 +103,7 @@
 
 void limit_client::tick(time_point now)
 {
-    for (const auto& back : m_cache.expired(now))
+    for (const auto& back : m_cache.removeExpired(now))
         sendBack(back);
     std::vector<std::uint64_t> late;
     for (const auto& [id, one] : m_questions) {
--- a/Source/limits/grant_cache.cpp
+++ b/Source/limits/grant_cache.cpp
@@ -13,7 +13,7 @@
     one.usedAt = now;
 }
 
-bool grant_cache::take(const std::string& organisation, std::uint64_t tokens, time_point now)
+bool grant_cache::tryConsume(const std::string& organisation, std::uint64_t tokens, time_point now)
 {
     auto& one = m_accounts[organisation];
     decay(one, now);
@@ -39,14 +39,14 @@
         m_accounts[organisation].grants.push_back({ tokens, askedAt + lifetime });
 }
 
-std::uint64_t grant_cache::ahead(const std::string& organisation, time_point now)
+std::uint64_t grant_cache::estimateDemand(const std::string& organisation, time_point now)
 {
     auto& one = m_accounts[organisation];
     decay(one, now);
     return static_cast<std::uint64_t>(one.used);
 }
 
-std::vector<returned_tokens> grant_cache::expired(time_point now)
+std::vector<returned_tokens> grant_cache::removeExpired(time_point now)
 {
     std::vector<returned_tokens> back;
     constexpr double negligible = 0.5;
--- a/Source/limits/grant_cache.h
+++ b/Source/limits/grant_cache.h
@@ -17,14 +17,14 @@
 class grant_cache {
 public:
     /// Takes tokens out of grants still valid. All or nothing.
-    bool take(const std::string& organisation, std::uint64_t tokens, time_point now);
+    bool tryConsume(const std::string& organisation, std::uint64_t tokens, time_point now);
     /// Stores what a grant holds beyond the need it was asked for. `askedAt` is when the question was sent: the
     /// lifetime counts from there, so that a reply that travelled long is used less long.
     void store(const std::string& organisation, std::uint64_t tokens, time_point askedAt, milliseconds lifetime);
     /// Tokens to ask for ahead: about what was used within the last lifetime.
-    std::uint64_t ahead(const std::string& organisation, time_point now);
+    std::uint64_t estimateDemand(const std::string& organisation, time_point now);
     /// Grants that ran out unused, to be given back.
-    std::vector<returned_tokens> expired(time_point now);
+    std::vector<returned_tokens> removeExpired(time_point now);
     /// Everything, to be given back at a shutdown.
     std::vector<returned_tokens> drain();
 
--- a/Source/limits/limit_owner.cpp
+++ b/Source/limits/rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "limits/limit_owner.h"
+#include "limits/rate_limiter.h"
 
 #include <algorithm>
 
@@ -23,7 +23,7 @@
     }
 }
 
-void limit_owner::configure(const std::string& organisation, std::uint64_t rate, std::uint64_t burst, time_point now, std::uint64_t startTokens)
+void rate_limiter::configure(const std::string& organisation, std::uint64_t rate, std::uint64_t burst, time_point now, std::uint64_t startTokens)
 {
     auto found = m_accounts.find(organisation);
     if (found != m_accounts.end()) {
@@ -31,10 +31,10 @@
         return;
     }
     auto fresh = m_accounts.emplace(organisation, account { token_bucket(rate, burst, std::max(m_fillFrom, now)), {}, 0 }).first;
-    fresh->second.bucket.giveBack(startTokens, now);
+    fresh->second.bucket.refund(startTokens, now);
 }
 
-void limit_owner::remove(const std::string& organisation)
+void rate_limiter::remove(const std::string& organisation)
 {
     auto found = m_accounts.find(organisation);
     if (found == m_accounts.end())
@@ -45,7 +45,7 @@
     m_accounts.erase(found);
 }
 
-void limit_owner::ask(limit_ask question, time_point now)
+void rate_limiter::submit(grant_request question, time_point now)
 {
     auto found = m_accounts.find(question.organisation);
     if (found == m_accounts.end()) {
@@ -78,7 +78,7 @@
         m_withWaiting.insert(found->first);
 }
 
-std::uint64_t limit_owner::keptBy(const account& one, std::uint64_t need, time_point now)
+std::uint64_t rate_limiter::keptBy(const account& one, std::uint64_t need, time_point now)
 {
     const auto& bucket = one.bucket;
     bool smallOnesCome = one.smallSeenAt != time_point {} && now - one.smallSeenAt < smallExpected;
@@ -87,29 +87,29 @@
     return std::min(bucket.capacity() / keptPart, bucket.capacity() - need);
 }
 
-bool limit_owner::takeAsSmall(account& one, const limit_ask& question, time_point now)
+bool rate_limiter::takeAsSmall(account& one, const grant_request& question, time_point now)
 {
     if (one.waiting.empty() || !isSmall(one.bucket, question.need))
         return false;
     auto waited = std::chrono::duration<double>(now - one.waitingSince).count();
     auto kept = one.bucket.capacity() / keptPart;
     auto allowed = passingShare * static_cast<double>(one.bucket.rate()) * waited + static_cast<double>(kept);
-    if (static_cast<double>(one.passedBy + question.need) > allowed || !one.bucket.take(question.need, now))
+    if (static_cast<double>(one.passedBy + question.need) > allowed || !one.bucket.tryConsume(question.need, now))
         return false;
     one.passedBy += question.need;
     return true;
 }
 
-std::uint64_t limit_owner::aheadOf(account& one, const limit_ask& question, time_point now)
+std::uint64_t rate_limiter::aheadOf(account& one, const grant_request& question, time_point now)
 {
     if (one.waiting.size() > 1)
         return 0;
     auto spare = static_cast<std::uint64_t>(std::max(0.0, one.bucket.level(now) * aheadShare));
     auto ahead = std::min(question.ahead, spare);
-    return ahead > 0 && one.bucket.take(ahead, now) ? ahead : 0;
+    return ahead > 0 && one.bucket.tryConsume(ahead, now) ? ahead : 0;
 }
 
-void limit_owner::serve(account& one, time_point now)
+void rate_limiter::serve(account& one, time_point now)
 {
     while (!one.waiting.empty()) {
         auto& first = one.waiting.front();
@@ -118,7 +118,7 @@
         } else {
             auto need = first.question.need;
             bool enough = one.bucket.level(now) >= static_cast<double>(need + keptBy(one, need, now));
-            if (!enough || !one.bucket.take(need, now))
+            if (!enough || !one.bucket.tryConsume(need, now))
                 return;
             auto ahead = aheadOf(one, first.question, now);
             m_verdicts.push_back({ first.question.ticket, first.question.organisation, first.question.need + ahead, milliseconds(0) });
@@ -128,14 +128,14 @@
     }
 }
 
-void limit_owner::giveBack(const std::string& organisation, std::uint64_t tokens, time_point now)
+void rate_limiter::refund(const std::string& organisation, std::uint64_t tokens, time_point now)
 {
     auto found = m_accounts.find(organisation);
     if (found != m_accounts.end())
-        found->second.bucket.giveBack(tokens, now);
+        found->second.bucket.refund(tokens, now);
 }
 
-std::vector<limit_verdict> limit_owner::step(time_point now)
+std::vector<grant_decision> rate_limiter::collectDecisions(time_point now)
 {
     for (auto it = m_withWaiting.begin(); it != m_withWaiting.end();) {
         auto& one = m_accounts.at(*it);
--- a/Source/limits/limit_owner.h
+++ b/Source/limits/rate_limiter.h
@@ -9,7 +9,7 @@
 namespace pistachiolatch {
 
 /// One entry's question for tokens.
-struct limit_ask {
+struct grant_request {
     std::string organisation;
     std::uint64_t need = 0;
     /// What the entry expects to need within a grant's lifetime on top.
@@ -20,7 +20,7 @@
     std::uint64_t ticket = 0;
 };
 
-struct limit_verdict {
+struct grant_decision {
     std::uint64_t ticket = 0;
     std::string organisation;
     /// Zero when refused.
@@ -33,10 +33,10 @@
 /// large ones leave them a part of the bucket. Load pattern: an organisation's large calls drain its bucket, and a
 /// hundred lookups and bookings, each a thirtieth of one such call, are refused for it.
 /// Not thread-safe.
-class limit_owner {
+class rate_limiter {
 public:
     /// The buckets fill from the moment when the grants of an earlier owner have surely run out.
-    explicit limit_owner(time_point fillFrom)
+    explicit rate_limiter(time_point fillFrom)
         : m_fillFrom(fillFrom)
     {
     }
@@ -46,18 +46,18 @@
     void configure(const std::string& organisation, std::uint64_t rate, std::uint64_t burst, time_point now, std::uint64_t startTokens = 0);
     /// Drops an organisation that has no limit record any more; its questions are refused at the next step.
     void remove(const std::string& organisation);
-    /// Asks for tokens; the verdict comes out of step(), at once where it is known at once.
-    void ask(limit_ask question, time_point now);
-    void giveBack(const std::string& organisation, std::uint64_t tokens, time_point now);
+    /// Asks for tokens; the verdict comes out of collectDecisions(), at once where it is known at once.
+    void submit(grant_request question, time_point now);
+    void refund(const std::string& organisation, std::uint64_t tokens, time_point now);
     /// The verdicts that are due.
-    std::vector<limit_verdict> step(time_point now);
+    std::vector<grant_decision> collectDecisions(time_point now);
     std::size_t size() const { return m_accounts.size(); }
-    /// Whether a question waits for tokens, so that step() must be called again soon.
-    bool hasWaiting() const { return !m_withWaiting.empty(); }
+    /// Whether a question waits for tokens, so that collectDecisions() must be called again soon.
+    bool hasQueuedRequests() const { return !m_withWaiting.empty(); }
 
 private:
     struct waiting_ask {
-        limit_ask question;
+        grant_request question;
         time_point deadline;
     };
     struct account {
@@ -71,15 +71,15 @@
         time_point smallSeenAt {};
     };
     static std::uint64_t keptBy(const account& one, std::uint64_t need, time_point now);
-    bool takeAsSmall(account& one, const limit_ask& question, time_point now);
+    bool takeAsSmall(account& one, const grant_request& question, time_point now);
     void serve(account& one, time_point now);
-    static std::uint64_t aheadOf(account& one, const limit_ask& question, time_point now);
+    static std::uint64_t aheadOf(account& one, const grant_request& question, time_point now);
 
     time_point m_fillFrom;
     std::map<std::string, account> m_accounts;
     /// Organisations with questions that wait; the others need no look at each step.
     std::set<std::string> m_withWaiting;
-    std::vector<limit_verdict> m_verdicts;
+    std::vector<grant_decision> m_verdicts;
 };
 
 } // namespace pistachiolatch
--- a/Source/limits/token_bucket.cpp
+++ b/Source/limits/token_bucket.cpp
@@ -6,7 +6,7 @@
 
 namespace pistachiolatch {
 
-std::uint64_t token_bucket::capacityOf(std::uint64_t rate, std::uint64_t burst)
+std::uint64_t token_bucket::computeCapacity(std::uint64_t rate, std::uint64_t burst)
 {
     auto reserve = rate * static_cast<std::uint64_t>(limitGrantLifetime.count()) / 1000;
     return burst > reserve ? burst - reserve : 1;
@@ -14,7 +14,7 @@
 
 token_bucket::token_bucket(std::uint64_t rate, std::uint64_t burst, time_point fillFrom)
     : m_rate(rate)
-    , m_capacity(capacityOf(rate, burst))
+    , m_capacity(computeCapacity(rate, burst))
     , m_filledAt(fillFrom)
 {
 }
@@ -23,7 +23,7 @@
 {
     refill(now);
     m_rate = rate;
-    m_capacity = capacityOf(rate, burst);
+    m_capacity = computeCapacity(rate, burst);
     m_level = std::min(m_level, static_cast<double>(m_capacity));
 }
 
@@ -36,7 +36,7 @@
     m_filledAt = now;
 }
 
-bool token_bucket::take(std::uint64_t tokens, time_point now)
+bool token_bucket::tryConsume(std::uint64_t tokens, time_point now)
 {
     refill(now);
     if (m_level < static_cast<double>(tokens))
@@ -45,7 +45,7 @@
     return true;
 }
 
-void token_bucket::giveBack(std::uint64_t tokens, time_point now)
+void token_bucket::refund(std::uint64_t tokens, time_point now)
 {
     refill(now);
     m_level = std::min(static_cast<double>(m_capacity), m_level + static_cast<double>(tokens));
--- a/Source/limits/token_bucket.h
+++ b/Source/limits/token_bucket.h
@@ -12,9 +12,9 @@
     /// Changes rate and burst, keeping the level as far as the new burst allows.
     void configure(std::uint64_t rate, std::uint64_t burst, time_point now);
     /// Takes the tokens if they are there.
-    bool take(std::uint64_t tokens, time_point now);
+    bool tryConsume(std::uint64_t tokens, time_point now);
     /// Puts back tokens that were granted and not used; the level stays within the burst.
-    void giveBack(std::uint64_t tokens, time_point now);
+    void refund(std::uint64_t tokens, time_point now);
     double level(time_point now);
     std::uint64_t rate() const { return m_rate; }
     /// How long until that many tokens are there. Precondition: tokens <= capacity().
@@ -23,7 +23,7 @@
     /// lifetime after it left the bucket, so without the reserve a window could see the burst and that much more.
     std::uint64_t capacity() const { return m_capacity; }
     /// The capacity that a bucket of that rate and burst has. Thread safety: any thread.
-    static std::uint64_t capacityOf(std::uint64_t rate, std::uint64_t burst);
+    static std::uint64_t computeCapacity(std::uint64_t rate, std::uint64_t burst);
 
 private:
     void refill(time_point now);
--- a/Source/scheduler/owned_limits.cpp
+++ b/Source/scheduler/owned_limits.cpp
@@ -33,16 +33,16 @@
 {
     const auto& request = message.limit();
     if (request.returned() > 0)
-        m_owner.giveBack(request.organisation(), request.returned(), now);
+        m_owner.refund(request.organisation(), request.returned(), now);
     if (request.need() == 0)
         return;
     m_questions[++m_lastTicket] = message;
-    m_owner.ask({ request.organisation(), request.need(), request.ahead(), milliseconds(request.patience_ms()), m_lastTicket }, now);
+    m_owner.submit({ request.organisation(), request.need(), request.ahead(), milliseconds(request.patience_ms()), m_lastTicket }, now);
 }
 
 void owned_limits::step(time_point now)
 {
-    for (const auto& verdict : m_owner.step(now)) {
+    for (const auto& verdict : m_owner.collectDecisions(now)) {
         auto question = m_questions.extract(verdict.ticket);
         if (question.empty())
             continue;
--- a/Source/scheduler/owned_limits.h
+++ b/Source/scheduler/owned_limits.h
@@ -26,7 +26,7 @@
     std::uint64_t m_epoch;
     control_loop& m_loop;
     metrics& m_metrics;
-    limit_owner m_owner;
+    rate_limiter m_owner;
     std::set<std::string> m_organisations;
     std::map<std::uint64_t, wire::envelope> m_questions;
     std::uint64_t m_lastTicket = 0;
--- a/Tests/Bench/decision_bench.cpp
+++ b/Tests/Bench/decision_bench.cpp
@@ -118,16 +118,16 @@
 {
     manual_clock_source clock;
     auto before = heapBytes();
-    limit_owner owner(clock.now());
+    rate_limiter owner(clock.now());
     for (std::size_t i = 0; i < organisations; ++i)
         owner.configure(fmt::format("organisation-{}", i), 1000000, 1000000, clock.now());
     row("limits: bytes an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
     clock.advance(milliseconds(1000));
     auto ask = microsOf(5000, [&](int i) {
-        owner.ask({ fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations), 100, 100, milliseconds(100), static_cast<std::uint64_t>(i) }, clock.now());
+        owner.submit({ fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations), 100, 100, milliseconds(100), static_cast<std::uint64_t>(i) }, clock.now());
     });
     row("limits: a question", organisations, ask, "us");
-    row("limits: one step over all buckets", organisations, microsOf(50, [&](int) { owner.step(clock.now()); }), "us");
+    row("limits: one step over all buckets", organisations, microsOf(50, [&](int) { owner.collectDecisions(clock.now()); }), "us");
 }
 
 std::vector<wire::record> recordsOf(std::size_t organisations)
--- a/Tests/Limits/LimitOwnerTest.cpp
+++ b/Tests/Limits/RateLimiterTest.cpp
@@ -39,7 +39,7 @@
     auto seed = GENERATE(1U, 2U, 3U, 4U);
     std::mt19937 random(seed);
     manual_clock_source clock;
-    auto owner = std::make_unique<limit_owner>(clock.now());
+    auto owner = std::make_unique<rate_limiter>(clock.now());
     owner->configure("alpha", rate, burst, clock.now());
     std::vector<grant_cache> entries(3);
     std::vector<spent> spending;
@@ -51,20 +51,20 @@
         if (step % 500 == 250) {
             // The owner is lost and its lease runs out; the next one starts from nothing once old grants have ended.
             clock.advance(milliseconds(1750));
-            owner = std::make_unique<limit_owner>(clock.now() + limitGrantLifetime);
+            owner = std::make_unique<rate_limiter>(clock.now() + limitGrantLifetime);
             owner->configure("alpha", rate, burst, clock.now());
             asked.clear();
         }
         auto at = random() % entries.size();
         std::uint64_t need = 20 + random() % 300;
-        if (entries[at].take("alpha", need, clock.now())) {
+        if (entries[at].tryConsume("alpha", need, clock.now())) {
             spending.push_back({ clock.now(), need });
         } else {
             asked[++ticket] = { at, clock.now() };
             needs[ticket] = need;
-            owner->ask({ "alpha", need, entries[at].ahead("alpha", clock.now()), milliseconds(300), ticket }, clock.now());
+            owner->submit({ "alpha", need, entries[at].estimateDemand("alpha", clock.now()), milliseconds(300), ticket }, clock.now());
         }
-        for (const auto& verdict : owner->step(clock.now())) {
+        for (const auto& verdict : owner->collectDecisions(clock.now())) {
             auto question = asked.extract(verdict.ticket);
             if (question.empty() || verdict.granted == 0)
                 continue;
@@ -72,8 +72,8 @@
             spending.push_back({ clock.now(), needs[verdict.ticket] });
         }
         for (auto& entry : entries) {
-            for (const auto& back : entry.expired(clock.now()))
-                owner->giveBack("alpha", back.tokens, clock.now());
+            for (const auto& back : entry.removeExpired(clock.now()))
+                owner->refund("alpha", back.tokens, clock.now());
         }
     }
     CHECK(worstExcess(spending) <= 1.0);
@@ -89,14 +89,14 @@
 TEST_CASE("A large request is not starved by small ones")
 {
     manual_clock_source clock;
-    limit_owner owner(clock.now());
+    rate_limiter owner(clock.now());
     owner.configure("alpha", rate, burst, clock.now());
-    owner.ask({ "alpha", 1500, 0, milliseconds(3000), 1 }, clock.now());
+    owner.submit({ "alpha", 1500, 0, milliseconds(3000), 1 }, clock.now());
     bool granted = false;
     for (std::uint64_t step = 2; step < 300 && !granted; ++step) {
         clock.advance(milliseconds(10));
-        owner.ask({ "alpha", 50, 0, milliseconds(2000), step }, clock.now());
-        for (const auto& verdict : owner.step(clock.now()))
+        owner.submit({ "alpha", 50, 0, milliseconds(2000), step }, clock.now());
+        for (const auto& verdict : owner.collectDecisions(clock.now()))
             granted = granted || (verdict.ticket == 1 && verdict.granted == 1500);
     }
     CHECK(granted);
@@ -112,7 +112,7 @@
     constexpr std::uint64_t large = 5600;
     constexpr std::uint64_t small = 200;
     manual_clock_source clock;
-    limit_owner owner(clock.now());
+    rate_limiter owner(clock.now());
     owner.configure("alpha", wide, 2 * wide, clock.now(), 2 * wide);
     std::uint64_t ticket = 0;
     std::map<std::uint64_t, bool> isLarge;
@@ -123,14 +123,14 @@
         clock.advance(milliseconds(10));
         if (ms % 50 == 0) {
             isLarge[++ticket] = true;
-            owner.ask({ "alpha", large, 0, milliseconds(300), ticket }, clock.now());
+            owner.submit({ "alpha", large, 0, milliseconds(300), ticket }, clock.now());
         }
         if (ms % 100 == 0) {
             isLarge[++ticket] = false;
             ++smallAsked;
-            owner.ask({ "alpha", small, 0, milliseconds(50), ticket }, clock.now());
+            owner.submit({ "alpha", small, 0, milliseconds(50), ticket }, clock.now());
         }
-        for (const auto& verdict : owner.step(clock.now())) {
+        for (const auto& verdict : owner.collectDecisions(clock.now())) {
             if (verdict.granted > 0)
                 ++(isLarge[verdict.ticket] ? largeGranted : smallGranted);
         }
@@ -145,17 +145,17 @@
 {
     constexpr std::uint64_t wide = 50'000;
     manual_clock_source clock;
-    limit_owner owner(clock.now());
+    rate_limiter owner(clock.now());
     owner.configure("alpha", wide, 2 * wide, clock.now(), 2 * wide);
     std::uint64_t ticket = 0;
     std::uint64_t largeTokens = 0;
     for (int ms = 0; ms < 20000; ms += 10) {
         clock.advance(milliseconds(10));
         if (ms % 50 == 0)
-            owner.ask({ "alpha", 5600, 0, milliseconds(1000), ++ticket }, clock.now());
+            owner.submit({ "alpha", 5600, 0, milliseconds(1000), ++ticket }, clock.now());
         for (int i = 0; i < 10; ++i)
-            owner.ask({ "alpha", 200, 0, milliseconds(50), ++ticket }, clock.now());
-        for (const auto& verdict : owner.step(clock.now()))
+            owner.submit({ "alpha", 200, 0, milliseconds(50), ++ticket }, clock.now());
+        for (const auto& verdict : owner.collectDecisions(clock.now()))
             largeTokens += verdict.granted == 5600 ? verdict.granted : 0;
     }
     CHECK(largeTokens > 20 * wide * 4 / 10);
@@ -164,16 +164,16 @@
 TEST_CASE("A refusal tells truly when to come back")
 {
     manual_clock_source clock;
-    limit_owner owner(clock.now());
+    rate_limiter owner(clock.now());
     owner.configure("alpha", rate, burst, clock.now());
-    owner.ask({ "alpha", 1000, 0, milliseconds(100), 1 }, clock.now());
-    auto refused = owner.step(clock.now());
+    owner.submit({ "alpha", 1000, 0, milliseconds(100), 1 }, clock.now());
+    auto refused = owner.collectDecisions(clock.now());
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].granted == 0);
     CHECK(refused[0].retryAfter == milliseconds(1000));
     clock.advance(refused[0].retryAfter);
-    owner.ask({ "alpha", 1000, 0, milliseconds(0), 2 }, clock.now());
-    auto granted = owner.step(clock.now());
+    owner.submit({ "alpha", 1000, 0, milliseconds(0), 2 }, clock.now());
+    auto granted = owner.collectDecisions(clock.now());
     REQUIRE(granted.size() == 1);
     CHECK(granted[0].granted == 1000);
 }
