--- a/Source/limits/grant_cache.h
+++ b/Source/limits/grant_cache.h
@@ -7,40 +7,40 @@
 
 namespace pistachiolatch {
 
-/// Tokens that go back to their owner.
+/// Unused tokens to return to the owner of the organisation's limit.
 struct returned_tokens {
     std::string organisation;
     std::uint64_t tokens = 0;
 };
 
-/// The tokens that one entry was granted ahead of need. Not thread-safe.
+/// Tokens granted to an entry in advance, per organisation. Not thread-safe.
 class grant_cache {
 public:
-    /// Takes tokens out of grants still valid. All or nothing.
+    /// Takes the tokens from grants that are still valid, or takes none and returns false.
     bool tryConsume(const std::string& organisation, std::uint64_t tokens, time_point now);
-    /// Stores what a grant holds beyond the need it was asked for. `askedAt` is when the question was sent: the
-    /// lifetime counts from there, so that a reply that travelled long is used less long.
-    void store(const std::string& organisation, std::uint64_t tokens, time_point askedAt, milliseconds lifetime);
-    /// Tokens to ask for ahead: about what was used within the last lifetime.
+    /// Stores the part of a grant that exceeds the request. The lifetime counts from `requestedAt`, when the request
+    /// was sent, so that network delay shortens the time in which the grant can be used.
+    void store(const std::string& organisation, std::uint64_t tokens, time_point requestedAt, milliseconds lifetime);
+    /// Number of tokens to request in advance: roughly the usage within the last grant lifetime.
     std::uint64_t estimateDemand(const std::string& organisation, time_point now);
-    /// Grants that ran out unused, to be given back.
+    /// Removes expired grants and returns their unused tokens.
     std::vector<returned_tokens> removeExpired(time_point now);
-    /// Everything, to be given back at a shutdown.
+    /// Removes all grants and returns their unused tokens, for shutdown.
     std::vector<returned_tokens> drain();
 
 private:
     struct grant {
         std::uint64_t tokens;
-        time_point expires;
+        time_point expiresAt;
     };
-    struct account {
+    struct account_state {
         std::deque<grant> grants;
-        double used = 0;
-        time_point usedAt {};
+        double recentUsage = 0;
+        time_point usageUpdatedAt {};
     };
-    static void decay(account& one, time_point now);
+    static void decayUsage(account_state& account, time_point now);
 
-    std::map<std::string, account> m_accounts;
+    std::map<std::string, account_state> m_accounts;
 };
 
 } // namespace pistachiolatch
--- a/Source/limits/limits.h
+++ b/Source/limits/limits.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Rate and burst of an organisation over the whole fleet: one owner of the bucket, grants to the entries.
-/// This is the library's one public header.
+/// Fleet-wide rate limits of organisations: one owner holds the buckets and grants tokens to the entries.
+/// The only public header of this library.
 #include "limits/grant_cache.h"
 #include "limits/rate_limiter.h"
 #include "limits/token_bucket.h"
--- a/Source/limits/rate_limiter.cpp
+++ b/Source/limits/rate_limiter.cpp
@@ -5,21 +5,21 @@
 namespace pistachiolatch {
 
 namespace {
-    /// At most this part of a bucket goes ahead to one entry; the rest stays for the others.
-    constexpr double aheadShare = 1.0 / 16;
+    /// Largest share of the bucket's level that one entry gets in advance; the rest stays available to the others.
+    constexpr double maxPrefetchShare = 1.0 / 16;
     constexpr milliseconds unknownOrganisationRetry { 1000 };
-    /// Questions for at most this part of a bucket are small.
-    constexpr std::uint64_t smallPart = 64;
-    /// The part of a bucket that large questions leave to small ones.
-    constexpr std::uint64_t keptPart = 16;
-    /// How long after a small question others are expected.
-    constexpr std::chrono::seconds smallExpected { 10 };
-    /// The part of the rate that small questions may take while large ones wait.
-    constexpr double passingShare = 0.5;
+    /// A request is small if it needs at most 1/64 of the capacity.
+    constexpr std::uint64_t smallRequestDivisor = 64;
+    /// Large requests leave 1/16 of the capacity to small ones.
+    constexpr std::uint64_t smallReserveDivisor = 16;
+    /// How long after a small request more of them are expected.
+    constexpr std::chrono::seconds smallRequestWindow { 10 };
+    /// Share of the rate that small requests may use while large ones are queued.
+    constexpr double overtakeShare = 0.5;
 
-    bool isSmall(const token_bucket& bucket, std::uint64_t need)
+    bool isSmall(const token_bucket& bucket, std::uint64_t tokens)
     {
-        return need * smallPart <= bucket.capacity();
+        return tokens * smallRequestDivisor <= bucket.capacity();
     }
 }
 
@@ -30,8 +30,8 @@
         found->second.bucket.configure(rate, burst, now);
         return;
     }
-    auto fresh = m_accounts.emplace(organisation, account { token_bucket(rate, burst, std::max(m_fillFrom, now)), {}, 0 }).first;
-    fresh->second.bucket.refund(startTokens, now);
+    auto added = m_accounts.emplace(organisation, account_state { token_bucket(rate, burst, std::max(m_fillStart, now)), {}, 0 }).first;
+    added->second.bucket.refund(startTokens, now);
 }
 
 void rate_limiter::remove(const std::string& organisation)
@@ -39,92 +39,93 @@
     auto found = m_accounts.find(organisation);
     if (found == m_accounts.end())
         return;
-    for (const auto& waiting : found->second.waiting)
-        m_verdicts.push_back({ waiting.question.ticket, organisation, 0, unknownOrganisationRetry });
-    m_withWaiting.erase(organisation);
+    for (const auto& queued : found->second.queue)
+        m_decisions.push_back({ queued.request.ticket, organisation, 0, unknownOrganisationRetry });
+    m_queuedOrganisations.erase(organisation);
     m_accounts.erase(found);
 }
 
-void rate_limiter::submit(grant_request question, time_point now)
+void rate_limiter::submit(grant_request request, time_point now)
 {
-    auto found = m_accounts.find(question.organisation);
+    auto found = m_accounts.find(request.organisation);
     if (found == m_accounts.end()) {
-        m_verdicts.push_back({ question.ticket, question.organisation, 0, unknownOrganisationRetry });
+        m_decisions.push_back({ request.ticket, request.organisation, 0, unknownOrganisationRetry });
         return;
     }
-    auto& one = found->second;
-    serve(one, now);
-    if (isSmall(one.bucket, question.need))
-        one.smallSeenAt = now;
-    if (takeAsSmall(one, question, now)) {
-        m_verdicts.push_back({ question.ticket, question.organisation, question.need, milliseconds(0) });
+    auto& account = found->second;
+    processQueue(account, now);
+    if (isSmall(account.bucket, request.tokens))
+        account.lastSmallRequest = now;
+    if (tryOvertake(account, request, now)) {
+        m_decisions.push_back({ request.ticket, request.organisation, request.tokens, milliseconds(0) });
         return;
     }
-    auto wait = one.bucket.waitFor(one.waitingTokens + question.need + keptBy(one, question.need, now), now);
-    // Refused at once when the wait is known to be too long: cheap for the fleet, true for the caller.
-    if (wait > question.patience || question.need > one.bucket.capacity()) {
-        m_verdicts.push_back({ question.ticket, question.organisation, 0, wait });
+    auto wait = account.bucket.timeUntilAvailable(account.queuedTokens + request.tokens + reserveForSmall(account, request.tokens, now), now);
+    // Refuse immediately if the wait would be too long: the request isn't queued in vain, and the caller learns the
+    // actual wait.
+    if (wait > request.maxWait || request.tokens > account.bucket.capacity()) {
+        m_decisions.push_back({ request.ticket, request.organisation, 0, wait });
         return;
     }
-    if (one.waiting.empty()) {
-        one.waitingSince = now;
-        one.passedBy = 0;
+    if (account.queue.empty()) {
+        account.queuedSince = now;
+        account.overtakeTokens = 0;
     }
-    one.waitingTokens += question.need;
-    auto deadline = now + question.patience;
-    one.waiting.push_back({ std::move(question), deadline });
-    serve(one, now);
-    if (!one.waiting.empty())
-        m_withWaiting.insert(found->first);
+    account.queuedTokens += request.tokens;
+    auto deadline = now + request.maxWait;
+    account.queue.push_back({ std::move(request), deadline });
+    processQueue(account, now);
+    if (!account.queue.empty())
+        m_queuedOrganisations.insert(found->first);
 }
 
-std::uint64_t rate_limiter::keptBy(const account& one, std::uint64_t need, time_point now)
+std::uint64_t rate_limiter::reserveForSmall(const account_state& account, std::uint64_t tokens, time_point now)
 {
-    const auto& bucket = one.bucket;
-    bool smallOnesCome = one.smallSeenAt != time_point {} && now - one.smallSeenAt < smallExpected;
-    if (!smallOnesCome || isSmall(bucket, need) || need > bucket.capacity())
+    const auto& bucket = account.bucket;
+    bool smallExpected = account.lastSmallRequest != time_point {} && now - account.lastSmallRequest < smallRequestWindow;
+    if (!smallExpected || isSmall(bucket, tokens) || tokens > bucket.capacity())
         return 0;
-    return std::min(bucket.capacity() / keptPart, bucket.capacity() - need);
+    return std::min(bucket.capacity() / smallReserveDivisor, bucket.capacity() - tokens);
 }
 
-bool rate_limiter::takeAsSmall(account& one, const grant_request& question, time_point now)
+bool rate_limiter::tryOvertake(account_state& account, const grant_request& request, time_point now)
 {
-    if (one.waiting.empty() || !isSmall(one.bucket, question.need))
+    if (account.queue.empty() || !isSmall(account.bucket, request.tokens))
         return false;
-    auto waited = std::chrono::duration<double>(now - one.waitingSince).count();
-    auto kept = one.bucket.capacity() / keptPart;
-    auto allowed = passingShare * static_cast<double>(one.bucket.rate()) * waited + static_cast<double>(kept);
-    if (static_cast<double>(one.passedBy + question.need) > allowed || !one.bucket.tryConsume(question.need, now))
+    auto waited = std::chrono::duration<double>(now - account.queuedSince).count();
+    auto reserve = account.bucket.capacity() / smallReserveDivisor;
+    auto allowed = overtakeShare * static_cast<double>(account.bucket.rate()) * waited + static_cast<double>(reserve);
+    if (static_cast<double>(account.overtakeTokens + request.tokens) > allowed || !account.bucket.tryConsume(request.tokens, now))
         return false;
-    one.passedBy += question.need;
+    account.overtakeTokens += request.tokens;
     return true;
 }
 
-std::uint64_t rate_limiter::aheadOf(account& one, const grant_request& question, time_point now)
+std::uint64_t rate_limiter::consumePrefetch(account_state& account, const grant_request& request, time_point now)
 {
-    if (one.waiting.size() > 1)
+    if (account.queue.size() > 1)
         return 0;
-    auto spare = static_cast<std::uint64_t>(std::max(0.0, one.bucket.level(now) * aheadShare));
-    auto ahead = std::min(question.ahead, spare);
-    return ahead > 0 && one.bucket.tryConsume(ahead, now) ? ahead : 0;
+    auto available = static_cast<std::uint64_t>(std::max(0.0, account.bucket.level(now) * maxPrefetchShare));
+    auto prefetch = std::min(request.prefetch, available);
+    return prefetch > 0 && account.bucket.tryConsume(prefetch, now) ? prefetch : 0;
 }
 
-void rate_limiter::serve(account& one, time_point now)
+void rate_limiter::processQueue(account_state& account, time_point now)
 {
-    while (!one.waiting.empty()) {
-        auto& first = one.waiting.front();
+    while (!account.queue.empty()) {
+        auto& first = account.queue.front();
         if (first.deadline < now) {
-            m_verdicts.push_back({ first.question.ticket, first.question.organisation, 0, one.bucket.waitFor(one.waitingTokens, now) });
+            m_decisions.push_back({ first.request.ticket, first.request.organisation, 0, account.bucket.timeUntilAvailable(account.queuedTokens, now) });
         } else {
-            auto need = first.question.need;
-            bool enough = one.bucket.level(now) >= static_cast<double>(need + keptBy(one, need, now));
-            if (!enough || !one.bucket.tryConsume(need, now))
+            auto tokens = first.request.tokens;
+            bool sufficient = account.bucket.level(now) >= static_cast<double>(tokens + reserveForSmall(account, tokens, now));
+            if (!sufficient || !account.bucket.tryConsume(tokens, now))
                 return;
-            auto ahead = aheadOf(one, first.question, now);
-            m_verdicts.push_back({ first.question.ticket, first.question.organisation, first.question.need + ahead, milliseconds(0) });
+            auto prefetch = consumePrefetch(account, first.request, now);
+            m_decisions.push_back({ first.request.ticket, first.request.organisation, first.request.tokens + prefetch, milliseconds(0) });
         }
-        one.waitingTokens -= first.question.need;
-        one.waiting.pop_front();
+        account.queuedTokens -= first.request.tokens;
+        account.queue.pop_front();
     }
 }
 
@@ -137,12 +138,12 @@
 
 std::vector<grant_decision> rate_limiter::collectDecisions(time_point now)
 {
-    for (auto it = m_withWaiting.begin(); it != m_withWaiting.end();) {
-        auto& one = m_accounts.at(*it);
-        serve(one, now);
-        it = one.waiting.empty() ? m_withWaiting.erase(it) : std::next(it);
+    for (auto it = m_queuedOrganisations.begin(); it != m_queuedOrganisations.end();) {
+        auto& account = m_accounts.at(*it);
+        processQueue(account, now);
+        it = account.queue.empty() ? m_queuedOrganisations.erase(it) : std::next(it);
     }
-    return std::exchange(m_verdicts, {});
+    return std::exchange(m_decisions, {});
 }
 
 } // namespace pistachiolatch
--- a/Source/limits/token_bucket.cpp
+++ b/Source/limits/token_bucket.cpp
@@ -8,14 +8,14 @@
 
 std::uint64_t token_bucket::computeCapacity(std::uint64_t rate, std::uint64_t burst)
 {
-    auto reserve = rate * static_cast<std::uint64_t>(limitGrantLifetime.count()) / 1000;
-    return burst > reserve ? burst - reserve : 1;
+    auto lateUseMargin = rate * static_cast<std::uint64_t>(limitGrantLifetime.count()) / 1000;
+    return burst > lateUseMargin ? burst - lateUseMargin : 1;
 }
 
-token_bucket::token_bucket(std::uint64_t rate, std::uint64_t burst, time_point fillFrom)
+token_bucket::token_bucket(std::uint64_t rate, std::uint64_t burst, time_point fillStart)
     : m_rate(rate)
     , m_capacity(computeCapacity(rate, burst))
-    , m_filledAt(fillFrom)
+    , m_lastRefill(fillStart)
 {
 }
 
@@ -29,11 +29,11 @@
 
 void token_bucket::refill(time_point now)
 {
-    if (now <= m_filledAt)
+    if (now <= m_lastRefill)
         return;
-    auto seconds = std::chrono::duration<double>(now - m_filledAt).count();
+    auto seconds = std::chrono::duration<double>(now - m_lastRefill).count();
     m_level = std::min(static_cast<double>(m_capacity), m_level + seconds * static_cast<double>(m_rate));
-    m_filledAt = now;
+    m_lastRefill = now;
 }
 
 bool token_bucket::tryConsume(std::uint64_t tokens, time_point now)
@@ -57,13 +57,13 @@
     return m_level;
 }
 
-milliseconds token_bucket::waitFor(std::uint64_t tokens, time_point now)
+milliseconds token_bucket::timeUntilAvailable(std::uint64_t tokens, time_point now)
 {
     refill(now);
     auto missing = static_cast<double>(tokens) - m_level;
-    auto notFilling = std::max(duration::zero(), m_filledAt - now);
+    auto untilFillStart = std::max(duration::zero(), m_lastRefill - now);
     auto wait = missing <= 0 ? 0.0 : std::ceil(missing * 1000.0 / static_cast<double>(m_rate));
-    return milliseconds(static_cast<std::int64_t>(wait)) + std::chrono::ceil<milliseconds>(notFilling);
+    return milliseconds(static_cast<std::int64_t>(wait)) + std::chrono::ceil<milliseconds>(untilFillStart);
 }
 
 } // namespace pistachiolatch
