--- a/Source/control/control_node.cpp
+++ b/Source/control/control_node.cpp
@@ -327,7 +327,7 @@
         auto reply = *outcome->ledger;
         // The entry that ran the call is gone, so nobody will ever tell how it ended.
         bool orphaned = reply.state() == wire::LEDGER_RUNNING && !reply.granted() && !reply.owner().empty()
-            && m_sessions && m_sessions->settled(m_clock.now()) && !m_sessions->isLive(reply.owner(), reply.owner_incarnation());
+            && m_sessions && m_sessions->earlierLeasesExpired(m_clock.now()) && !m_sessions->isLive(reply.owner(), reply.owner_incarnation());
         if (orphaned)
             reply.set_state(wire::LEDGER_UNKNOWN);
         answer(std::move(reply));
@@ -403,7 +403,7 @@
     };
     auto gathered = std::make_shared<gathering>();
     std::vector<std::string> addresses;
-    for (const auto& process : m_sessions ? m_sessions->live() : std::vector<wire::live_process>()) {
+    for (const auto& process : m_sessions ? m_sessions->liveProcesses() : std::vector<wire::live_process>()) {
         if (process.kind() == wire::PROCESS_SCHEDULER)
             addresses.push_back(process.address());
     }
--- a/Source/control/control_sessions.cpp
+++ b/Source/control/control_sessions.cpp
@@ -34,7 +34,7 @@
         m_loop.wire().send(message.sender_address(), envelope);
         return;
     }
-    if (!m_sessions->heartbeat(message.sender(), message.sender_incarnation(), message.sender_address(), beat, m_clock.now())) {
+    if (!m_sessions->applyHeartbeat(message.sender(), message.sender_incarnation(), message.sender_address(), beat, m_clock.now())) {
         m_metrics.count("heartbeat_of_older_incarnation");
         return;
     }
@@ -42,7 +42,7 @@
         keepEvent(event);
     fillGrant(*grant, beat.applied_revision(), beat.shard_version(), beat.poison_version(), beat.live_version());
     grant->set_echo_ns(beat.sent_ns());
-    grant->set_lease_ms(static_cast<std::uint32_t>(leaseOf(beat.kind()).count()));
+    grant->set_lease_ms(static_cast<std::uint32_t>(leaseDuration(beat.kind()).count()));
     m_loop.wire().send(message.sender_address(), envelope);
 }
 
@@ -65,7 +65,7 @@
     }
     grant.set_live_version(m_sessions->liveVersion());
     if (liveVersion != m_sessions->liveVersion()) {
-        for (auto& process : m_sessions->live())
+        for (auto& process : m_sessions->liveProcesses())
             *grant.add_live() = std::move(process);
     }
 }
@@ -78,7 +78,7 @@
         return;
     // Without an echo the message renews no lease; it only brings the news before the next heartbeat would.
     for (const auto& [key, one] : m_sessions->sessions()) {
-        if (one.lapsed)
+        if (one.expired)
             continue;
         wire::envelope envelope;
         envelope.set_receiver_incarnation(one.process.incarnation());
@@ -137,16 +137,16 @@
 {
     std::vector<awaiting_force> due;
     std::erase_if(m_awaiting, [&](awaiting_force& one) {
-        bool done = m_sessions->inForce(one.revision, m_clock.now()) || m_clock.now() >= one.deadline;
+        bool done = m_sessions->isInForce(one.revision, m_clock.now()) || m_clock.now() >= one.deadline;
         if (done)
             due.push_back(std::move(one));
         return done;
     });
     for (auto& one : due) {
         auto now = m_clock.now();
-        bool inForce = m_sessions->inForce(one.revision, now);
+        bool inForce = m_sessions->isInForce(one.revision, now);
         if (!inForce)
-            logEvent("change_unconfirmed", { { "revision", one.revision }, { "why", "timeout" }, { "behind", m_sessions->processesBehind(one.revision, now) }, { "settled", m_sessions->settled(now) ? 1 : 0 } });
+            logEvent("change_unconfirmed", { { "revision", one.revision }, { "why", "timeout" }, { "behind", m_sessions->processesBehind(one.revision, now) }, { "settled", m_sessions->earlierLeasesExpired(now) ? 1 : 0 } });
         one.answer(inForce);
     }
 }
--- a/Source/control/operator_json.cpp
+++ b/Source/control/operator_json.cpp
@@ -93,7 +93,7 @@
     status["term"] = core().term();
     status["commit_index"] = core().commitIndex();
     status["revision"] = m_state.revision();
-    status["in_force"] = m_sessions && m_sessions->inForce(m_state.revision(), m_clock.now());
+    status["in_force"] = m_sessions && m_sessions->isInForce(m_state.revision(), m_clock.now());
     status["ledger_entries"] = m_state.calls().size();
     json::array replicas;
     for (const auto& voter : core().members().voters())
@@ -102,7 +102,7 @@
     json::array processes;
     if (m_sessions) {
         for (const auto& [key, one] : m_sessions->sessions()) {
-            processes.push_back(json::object { { "process", key }, { "data_centre", one.process.data_centre() }, { "live", !one.lapsed },
+            processes.push_back(json::object { { "process", key }, { "data_centre", one.process.data_centre() }, { "live", !one.expired },
                 { "leaving", one.process.leaving() }, { "applied_revision", one.appliedRevision }, { "schema", one.maxSchemaVersion } });
         }
     }
--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -88,7 +88,7 @@
         onCrash(message, from);
         return true;
     case wire::envelope::kEndpointUnreachable:
-        if (m_directory.doubt(message.endpoint_unreachable().id(), message.endpoint_unreachable().born_ms()))
+        if (m_directory.markUnreachable(message.endpoint_unreachable().id(), message.endpoint_unreachable().born_ms()))
             pushChanges();
         return true;
     case wire::envelope::kEnginePlanRequest:
@@ -229,7 +229,7 @@
 {
     auto now = m_clock.now();
     auto blocksBefore = m_blocks.version();
-    bool changed = m_directory.take(report, now);
+    bool changed = m_directory.applyReport(report, now);
     m_blocks.onReport(report, now);
     if (changed)
         m_blocks.updateFromDirectory(m_directory, now);
--- a/Source/entry/announcement_relay.cpp
+++ b/Source/entry/announcement_relay.cpp
@@ -48,7 +48,7 @@
 
 void announcement_relay::tick(time_point now)
 {
-    std::erase_if(m_heard, [now](const auto& item) { return now - item.second.at > endpointSilence; });
+    std::erase_if(m_heard, [now](const auto& item) { return now - item.second.at > endpointTimeout; });
 }
 
 } // namespace pistachiolatch
--- a/Source/membership/endpoint_directory.cpp
+++ b/Source/membership/endpoint_directory.cpp
@@ -45,7 +45,7 @@
         one.reportingRun = report.born_ms();
         one.reportingSince = now;
     }
-    return now - one.reportingSince < m_settings.provenAlive;
+    return now - one.reportingSince < m_settings.restartConfirmation;
 }
 
 bool endpoint_directory::addressTaken(const wire::endpoint_report& report)
@@ -63,7 +63,7 @@
     return false;
 }
 
-bool endpoint_directory::take(const wire::endpoint_report& report, time_point now)
+bool endpoint_directory::applyReport(const wire::endpoint_report& report, time_point now)
 {
     auto found = m_endpoints.find(report.id());
     if (isGone(report)) {
@@ -106,7 +106,7 @@
     return m_version != before;
 }
 
-bool endpoint_directory::doubt(const std::string& id, std::uint64_t born)
+bool endpoint_directory::markUnreachable(const std::string& id, std::uint64_t born)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end() || found->second.row.silent() || isGone(found->second.row.report()) || found->second.row.report().born_ms() != born)
@@ -123,7 +123,7 @@
         auto& one = it->second;
         auto silence = now - one.heardAt;
         if (isGone(one.row.report())) {
-            it = silence > m_settings.goneKept ? m_endpoints.erase(it) : std::next(it);
+            it = silence > m_settings.goneRetention ? m_endpoints.erase(it) : std::next(it);
             continue;
         }
         if (silence > m_settings.goneAfter) {
--- a/Source/membership/endpoint_directory.h
+++ b/Source/membership/endpoint_directory.h
@@ -12,10 +12,10 @@
     /// misses and some delay on the way are more than a lossy link explains.
     milliseconds silentAfter { 4000 };
     /// How long an endpoint that left is remembered, so that announcements delayed on the way don't bring it back.
-    milliseconds goneKept { 60000 };
+    milliseconds goneRetention { 60000 };
     /// How long an endpoint whose farewell named no run must go on reporting before it counts as started again. Reports
     /// that were held up by a cut come together when it heals; a live endpoint reports every second or so.
-    milliseconds provenAlive { 3000 };
+    milliseconds restartConfirmation { 3000 };
     /// Silence after which an endpoint counts as gone. A VM that is cut off or suspended comes back within seconds.
     milliseconds goneAfter { 30000 };
 };
@@ -38,10 +38,10 @@
     endpoint_directory(std::uint64_t source, directory_settings settings);
 
     /// Takes in a report. Returns whether what is known of any endpoint changed.
-    bool take(const wire::endpoint_report& report, time_point now);
+    bool applyReport(const wire::endpoint_report& report, time_point now);
     /// Counts an endpoint as silent until its next report, because it could not be reached. A crashed endpoint sends no
     /// word of it; without this every entry had to find out by a call of its own. Returns whether that is news.
-    bool doubt(const std::string& id, std::uint64_t born);
+    bool markUnreachable(const std::string& id, std::uint64_t born);
     /// Marks endpoints that fell silent. Returns whether any did.
     bool expire(time_point now);
     std::uint64_t source() const { return m_source; }
--- a/Source/membership/endpoint_table.cpp
+++ b/Source/membership/endpoint_table.cpp
@@ -5,12 +5,12 @@
 
 namespace pistachiolatch {
 
-announcement_effect endpoint_table::announce(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
+announcement_effect endpoint_table::applyAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
 {
     auto heardAt = now - age;
     auto found = m_rows.find(announcement.id());
     if (found == m_rows.end()) {
-        if (age >= endpointSilence)
+        if (age >= endpointTimeout)
             return announcement_effect::Stale;
         m_rows.emplace(announcement.id(), row { announcement, heardAt, true, {} });
         return announcement_effect::Joined;
@@ -21,7 +21,7 @@
         return announcement_effect::Stale;
     bool restarted = announcement.incarnation() != known.announcement.incarnation();
     bool wasAlive = known.alive;
-    bool provesLife = restarted || heardAt - known.suspendedAt > announcementInFlight;
+    bool provesLife = restarted || heardAt - known.suspendedAt > maxAnnouncementDelay;
     known = { announcement, std::max(heardAt, known.heardAt), true, provesLife ? time_point() : known.suspendedAt };
     if (announcement.leaving())
         return announcement_effect::Leaving;
@@ -41,12 +41,12 @@
 {
     std::vector<std::string> gone;
     for (auto& [id, one] : m_rows) {
-        if (one.alive && now - one.heardAt > endpointSilence) {
+        if (one.alive && now - one.heardAt > endpointTimeout) {
             one.alive = false;
             gone.push_back(id);
         }
     }
-    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.heardAt > endpointMemory; });
+    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.heardAt > endpointRetention; });
     return gone;
 }
 
--- a/Source/membership/endpoint_table.h
+++ b/Source/membership/endpoint_table.h
@@ -8,11 +8,11 @@
 namespace pistachiolatch {
 
 /// An endpoint not heard for this long gets no new work.
-constexpr milliseconds endpointSilence { 3000 };
+constexpr milliseconds endpointTimeout { 3000 };
 /// An announcement that left an endpoint just before its connection broke may still be on its way for this long.
-constexpr milliseconds announcementInFlight { 700 };
+constexpr milliseconds maxAnnouncementDelay { 700 };
 /// How long an endpoint gone is remembered, so that a delayed announcement can't bring it back.
-constexpr milliseconds endpointMemory { 60000 };
+constexpr milliseconds endpointRetention { 60000 };
 
 enum class announcement_effect {
     /// Older than what is known; ignored.
@@ -29,7 +29,7 @@
 public:
     /// Takes an announcement that was made `age` before now. Ordered by (incarnation, sequence), so one that was
     /// delayed on its way can't undo a later one.
-    announcement_effect announce(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
+    announcement_effect applyAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
     /// Keeps new work away from an endpoint whose connection just broke, until it is heard again. Without it the next
     /// requests run into the dead endpoint too and fail, or are taken for what killed it.
     void suspend(const std::string& id, time_point now);
--- a/Source/membership/session_lease.h
+++ b/Source/membership/session_lease.h
@@ -24,8 +24,8 @@
             m_until.store(until);
     }
     /// Ends the lease early.
-    void drop() { m_until.store(0); }
-    bool valid(time_point now) const { return now.time_since_epoch().count() < m_until.load(); }
+    void release() { m_until.store(0); }
+    bool isValid(time_point now) const { return now.time_since_epoch().count() < m_until.load(); }
 
 private:
     std::atomic<duration::rep> m_until { 0 };
--- a/Source/membership/session_table.h
+++ b/Source/membership/session_table.h
@@ -24,21 +24,21 @@
         std::uint32_t maxSchemaVersion = 0;
         time_point expires {};
         /// When the live list first lacked it; the row stays for a while so that `status` can tell.
-        bool lapsed = false;
+        bool expired = false;
     };
 
     /// Takes in a heartbeat and extends the lease. Returns false for an incarnation older than the one known.
-    bool heartbeat(const std::string& name, std::uint64_t incarnation, const std::string& address, const wire::session_heartbeat& beat, time_point now);
+    bool applyHeartbeat(const std::string& name, std::uint64_t incarnation, const std::string& address, const wire::session_heartbeat& beat, time_point now);
     /// Marks the sessions whose lease has run out; returns their names.
     std::vector<std::string> expire(time_point now);
     /// Whether no process can still act on an older revision: each live one has applied it, and leases given
     /// by an earlier leader have run out.
-    bool inForce(std::uint64_t revision, time_point now) const;
+    bool isInForce(std::uint64_t revision, time_point now) const;
     /// Returns the processes that hold a lease and have not applied the revision, as "entry/NAME" or "scheduler/NAME"
     /// separated by commas.
     std::string processesBehind(std::uint64_t revision, time_point now) const;
     /// Whether leases of an earlier leader may still run.
-    bool settled(time_point now) const { return now >= m_settledAt; }
+    bool earlierLeasesExpired(time_point now) const { return now >= m_settledAt; }
     /// Whether that process may still act under a lease.
     bool mayAct(const std::string& name, std::uint64_t incarnation, time_point now) const;
     /// Whether that process is known to be alive.
@@ -48,7 +48,7 @@
     const std::map<std::string, session>& sessions() const { return m_sessions; }
     /// Grows whenever a process comes or goes.
     std::uint64_t liveVersion() const { return m_liveVersion; }
-    std::vector<wire::live_process> live() const;
+    std::vector<wire::live_process> liveProcesses() const;
     /// The key of a session: a VM runs an entry and a scheduler under one name.
     static std::string keyOf(const std::string& name, wire::process_kind kind);
 
@@ -59,6 +59,6 @@
 };
 
 /// The lease that a kind of process gets.
-milliseconds leaseOf(wire::process_kind kind);
+milliseconds leaseDuration(wire::process_kind kind);
 
 } // namespace pistachiolatch
--- a/Source/membership/shard_assigner.cpp
+++ b/Source/membership/shard_assigner.cpp
@@ -13,7 +13,7 @@
     std::vector<candidate> candidates(const std::map<std::string, wire::shard_owner>& current, const session_table& sessions, time_point now)
     {
         std::vector<candidate> list;
-        for (const auto& process : sessions.live()) {
+        for (const auto& process : sessions.liveProcesses()) {
             if (process.kind() != wire::PROCESS_SCHEDULER || !sessions.mayAct(process.name(), process.incarnation(), now))
                 continue;
             candidate one { process, 0 };
--- a/Source/scheduling/crash_suspects.cpp
+++ b/Source/scheduling/crash_suspects.cpp
@@ -38,7 +38,7 @@
 {
     std::vector<wire::crash_report> certain;
     std::erase_if(m_suspicions, [&](const suspicion& one) {
-        return !one.certain && one.report.endpoint() == endpoint && one.report.endpoint_incarnation() == incarnation && now - one.at > announcementInFlight;
+        return !one.certain && one.report.endpoint() == endpoint && one.report.endpoint_incarnation() == incarnation && now - one.at > maxAnnouncementDelay;
     });
     for (auto& one : m_suspicions) {
         if (one.certain || one.report.endpoint() != endpoint || one.report.endpoint_incarnation() == incarnation)
--- a/Source/scheduling/pool.cpp
+++ b/Source/scheduling/pool.cpp
@@ -15,7 +15,7 @@
 
 std::vector<wire::crash_report> pool::announce(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
 {
-    auto effect = m_endpoints.table().announce(announcement, age, now);
+    auto effect = m_endpoints.table().applyAnnouncement(announcement, age, now);
     if (effect == announcement_effect::Stale)
         return {};
     if (effect == announcement_effect::Restarted)
--- a/Source/session/control_session.cpp
+++ b/Source/session/control_session.cpp
@@ -58,7 +58,7 @@
 void control_session::leave()
 {
     m_leaving = true;
-    m_lease.drop();
+    m_lease.release();
     sendHeartbeat(m_clock.now());
 }
 
--- a/Source/session/control_session.h
+++ b/Source/session/control_session.h
@@ -38,7 +38,7 @@
     void addEvent(std::string text);
 
     /// Whether this process may still act on what control told it. Thread safety: any thread.
-    bool leaseValid() const { return m_lease.valid(m_clock.now()); }
+    bool leaseValid() const { return m_lease.isValid(m_clock.now()); }
     /// The configuration in force. Never null. Thread safety: any thread.
     std::shared_ptr<const config_view> config() const { return std::atomic_load(&m_config); }
     /// The owner of a shard, or null.
--- a/Tests/Bench/decision_bench.cpp
+++ b/Tests/Bench/decision_bench.cpp
@@ -185,7 +185,7 @@
     wire::session_heartbeat beat;
     auto micros = microsOf(20000, [&](int i) {
         beat.set_kind(i % 2 ? wire::PROCESS_ENTRY : wire::PROCESS_SCHEDULER);
-        sessions.heartbeat(fmt::format("vm{}", static_cast<std::size_t>(i) % processes), 1, "10.11.12.13:7101", beat, clock.now());
+        sessions.applyHeartbeat(fmt::format("vm{}", static_cast<std::size_t>(i) % processes), 1, "10.11.12.13:7101", beat, clock.now());
     });
     row("control: a heartbeat taken", processes, micros, "us");
 }
--- a/Tests/Coordination/RequestBlocksTest.cpp
+++ b/Tests/Coordination/RequestBlocksTest.cpp
@@ -71,15 +71,15 @@
     endpoint_directory directory(1, {});
     auto first = reportOf("e1", firstRun);
     first.set_address("10.0.0.1:80");
-    directory.take(first, seen.now);
+    directory.applyReport(first, seen.now);
     auto second = reportOf("e2", firstRun);
     second.set_address("10.0.0.2:80");
-    directory.take(second, seen.now);
+    directory.applyReport(second, seen.now);
     seen.blocks.updateFromDirectory(directory, seen.now);
     CHECK_FALSE(seen.certain());
     auto successor = reportOf("e3", firstRun + 5);
     successor.set_address("10.0.0.1:80");
-    directory.take(successor, seen.now + std::chrono::seconds(3));
+    directory.applyReport(successor, seen.now + std::chrono::seconds(3));
     directory.expire(seen.now + std::chrono::seconds(5));
     seen.blocks.updateFromDirectory(directory, seen.now + std::chrono::seconds(5));
     CHECK(seen.certain());
--- a/Tests/Membership/EndpointDirectoryTest.cpp
+++ b/Tests/Membership/EndpointDirectoryTest.cpp
@@ -38,12 +38,12 @@
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
-    CHECK(directory.take(withState(reportOf("a", 100, 2), wire::ENDPOINT_LEAVING), clock.now()));
-    CHECK_FALSE(directory.take(reportOf("a", 100, 1), clock.now()));
+    CHECK(directory.applyReport(withState(reportOf("a", 100, 2), wire::ENDPOINT_LEAVING), clock.now()));
+    CHECK_FALSE(directory.applyReport(reportOf("a", 100, 1), clock.now()));
     CHECK(rowOf(directory.changesSince(0), "a")->report().state() == wire::ENDPOINT_LEAVING);
-    CHECK(directory.take(withState(reportOf("a", 100, 0), wire::ENDPOINT_GONE), clock.now()));
-    CHECK_FALSE(directory.take(reportOf("a", 100, 9), clock.now()));
-    CHECK(directory.take(reportOf("a", 200, 1), clock.now()));
+    CHECK(directory.applyReport(withState(reportOf("a", 100, 0), wire::ENDPOINT_GONE), clock.now()));
+    CHECK_FALSE(directory.applyReport(reportOf("a", 100, 9), clock.now()));
+    CHECK(directory.applyReport(reportOf("a", 200, 1), clock.now()));
     CHECK(rowOf(directory.changesSince(0), "a")->report().state() == wire::ENDPOINT_SERVING);
 }
 
@@ -54,10 +54,10 @@
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
-    directory.take(reportOf("old", 100, 5), clock.now());
-    CHECK(directory.take(reportOf("new", 300, 1), clock.now()));
+    directory.applyReport(reportOf("old", 100, 5), clock.now());
+    CHECK(directory.applyReport(reportOf("new", 300, 1), clock.now()));
     CHECK(rowOf(directory.changesSince(0), "old")->report().state() == wire::ENDPOINT_GONE);
-    CHECK_FALSE(directory.take(reportOf("ghost", 200, 1), clock.now()));
+    CHECK_FALSE(directory.applyReport(reportOf("ghost", 200, 1), clock.now()));
     CHECK(rowOf(directory.changesSince(0), "ghost") == nullptr);
 }
 
@@ -65,10 +65,10 @@
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
-    directory.take(reportOf("a", 200, 1), clock.now());
-    CHECK_FALSE(directory.take(withState(reportOf("a", 100, 0), wire::ENDPOINT_GONE), clock.now()));
-    CHECK(directory.take(withState(reportOf("a", 0, 0), wire::ENDPOINT_GONE), clock.now()));
-    CHECK_FALSE(directory.take(reportOf("a", 200, 2), clock.now()));
+    directory.applyReport(reportOf("a", 200, 1), clock.now());
+    CHECK_FALSE(directory.applyReport(withState(reportOf("a", 100, 0), wire::ENDPOINT_GONE), clock.now()));
+    CHECK(directory.applyReport(withState(reportOf("a", 0, 0), wire::ENDPOINT_GONE), clock.now()));
+    CHECK_FALSE(directory.applyReport(reportOf("a", 200, 2), clock.now()));
 }
 
 // Callers see: calls wait for an engine that crashed a second ago, and are refused when it can't be reached.
@@ -78,12 +78,12 @@
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
-    directory.take(reportOf("a", 100, 1), clock.now());
-    CHECK_FALSE(directory.doubt("a", 99));
-    CHECK(directory.doubt("a", 100));
-    CHECK_FALSE(directory.doubt("a", 100));
+    directory.applyReport(reportOf("a", 100, 1), clock.now());
+    CHECK_FALSE(directory.markUnreachable("a", 99));
+    CHECK(directory.markUnreachable("a", 100));
+    CHECK_FALSE(directory.markUnreachable("a", 100));
     CHECK(rowOf(directory.changesSince(0), "a")->silent());
-    CHECK(directory.take(reportOf("a", 100, 2), clock.now()));
+    CHECK(directory.applyReport(reportOf("a", 100, 2), clock.now()));
     CHECK_FALSE(rowOf(directory.changesSince(0), "a")->silent());
 }
 
@@ -92,11 +92,11 @@
     manual_clock_source clock;
     directory_settings settings;
     endpoint_directory directory(1, settings);
-    directory.take(reportOf("a", 100, 1, "10.0.0.1:80"), clock.now());
-    directory.take(reportOf("b", 100, 1, "10.0.0.2:80"), clock.now());
+    directory.applyReport(reportOf("a", 100, 1, "10.0.0.1:80"), clock.now());
+    directory.applyReport(reportOf("b", 100, 1, "10.0.0.2:80"), clock.now());
     auto seen = directory.version();
     clock.advance(settings.silentAfter / 2);
-    CHECK_FALSE(directory.take(reportOf("a", 100, 2, "10.0.0.1:80"), clock.now()));
+    CHECK_FALSE(directory.applyReport(reportOf("a", 100, 2, "10.0.0.1:80"), clock.now()));
     CHECK(directory.changesSince(seen).empty());
     clock.advance(settings.silentAfter / 2 + milliseconds(1));
     CHECK(directory.expire(clock.now()));
@@ -104,7 +104,7 @@
     REQUIRE(rows.size() == 1);
     CHECK(rows[0].report().id() == "b");
     CHECK(rows[0].silent());
-    CHECK(directory.take(reportOf("b", 100, 2, "10.0.0.2:80"), clock.now()));
+    CHECK(directory.applyReport(reportOf("b", 100, 2, "10.0.0.2:80"), clock.now()));
     CHECK_FALSE(rowOf(directory.changesSince(seen), "b")->silent());
 }
 
@@ -118,13 +118,13 @@
     endpoint_directory directory(1, {});
     auto known = GENERATE(false, true);
     if (known)
-        directory.take(reportOf("d1", 10, 1), clock.now());
+        directory.applyReport(reportOf("d1", 10, 1), clock.now());
     auto farewell = reportOf("d1", 0, 0);
     farewell.set_state(wire::ENDPOINT_GONE);
-    CHECK(directory.take(farewell, clock.now()));
+    CHECK(directory.applyReport(farewell, clock.now()));
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
         clock.advance(milliseconds(900));
-        CHECK_FALSE(directory.take(reportOf("d1", 20, sequence), clock.now()));
+        CHECK_FALSE(directory.applyReport(reportOf("d1", 20, sequence), clock.now()));
     }
     CHECK(directory.changesSince(0).front().report().state() == wire::ENDPOINT_GONE);
 }
@@ -136,16 +136,16 @@
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
-    directory.take(reportOf("d1", 10, 1), clock.now());
+    directory.applyReport(reportOf("d1", 10, 1), clock.now());
     auto farewell = reportOf("d1", 0, 0);
     farewell.set_state(wire::ENDPOINT_GONE);
-    directory.take(farewell, clock.now());
+    directory.applyReport(farewell, clock.now());
     clock.advance(milliseconds(1000));
-    directory.take(reportOf("d1", 20, 1), clock.now());
-    clock.advance(directory_settings {}.provenAlive);
-    CHECK(directory.take(reportOf("d1", 20, 4), clock.now()));
+    directory.applyReport(reportOf("d1", 20, 1), clock.now());
+    clock.advance(directory_settings {}.restartConfirmation);
+    CHECK(directory.applyReport(reportOf("d1", 20, 4), clock.now()));
     CHECK(directory.changesSince(0).front().report().state() == wire::ENDPOINT_SERVING);
     farewell.set_born_ms(20);
-    CHECK(directory.take(farewell, clock.now()));
-    CHECK(directory.take(reportOf("d1", 30, 1), clock.now()));
+    CHECK(directory.applyReport(farewell, clock.now()));
+    CHECK(directory.applyReport(reportOf("d1", 30, 1), clock.now()));
 }
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -38,15 +38,15 @@
 {
     manual_clock_source clock;
     endpoint_table table;
-    CHECK(table.announce(announce(1, 5), milliseconds(0), clock.now()) == announcement_effect::Joined);
-    CHECK(table.announce(announce(1, 7, true), milliseconds(0), clock.now()) == announcement_effect::Leaving);
-    CHECK(table.announce(announce(1, 6), milliseconds(0), clock.now()) == announcement_effect::Stale);
+    CHECK(table.applyAnnouncement(announce(1, 5), milliseconds(0), clock.now()) == announcement_effect::Joined);
+    CHECK(table.applyAnnouncement(announce(1, 7, true), milliseconds(0), clock.now()) == announcement_effect::Leaving);
+    CHECK(table.applyAnnouncement(announce(1, 6), milliseconds(0), clock.now()) == announcement_effect::Stale);
     CHECK(table.serving().empty());
-    CHECK(table.announce(announce(2, 1), milliseconds(0), clock.now()) == announcement_effect::Restarted);
+    CHECK(table.applyAnnouncement(announce(2, 1), milliseconds(0), clock.now()) == announcement_effect::Restarted);
     CHECK(table.serving().size() == 1);
-    clock.advance(endpointSilence + milliseconds(1));
+    clock.advance(endpointTimeout + milliseconds(1));
     CHECK(table.expire(clock.now()).size() == 1);
-    CHECK(table.announce(announce(1, 9), milliseconds(0), clock.now()) == announcement_effect::Stale);
+    CHECK(table.applyAnnouncement(announce(1, 9), milliseconds(0), clock.now()) == announcement_effect::Stale);
     CHECK(table.serving().empty());
 }
 
@@ -55,17 +55,17 @@
 {
     manual_clock_source clock;
     session_table sessions(clock.now());
-    sessions.heartbeat("vm1", 1, "a", beat(wire::PROCESS_ENTRY, 5), clock.now());
-    CHECK(!sessions.inForce(5, clock.now()));
+    sessions.applyHeartbeat("vm1", 1, "a", beat(wire::PROCESS_ENTRY, 5), clock.now());
+    CHECK(!sessions.isInForce(5, clock.now()));
     clock.advance(entryLease + leaseMargin);
-    sessions.heartbeat("vm1", 1, "a", beat(wire::PROCESS_ENTRY, 6), clock.now());
-    sessions.heartbeat("vm2", 1, "b", beat(wire::PROCESS_ENTRY, 5), clock.now());
-    CHECK(sessions.inForce(5, clock.now()));
-    CHECK(!sessions.inForce(6, clock.now()));
+    sessions.applyHeartbeat("vm1", 1, "a", beat(wire::PROCESS_ENTRY, 6), clock.now());
+    sessions.applyHeartbeat("vm2", 1, "b", beat(wire::PROCESS_ENTRY, 5), clock.now());
+    CHECK(sessions.isInForce(5, clock.now()));
+    CHECK(!sessions.isInForce(6, clock.now()));
     clock.advance(entryLease);
-    CHECK(!sessions.inForce(6, clock.now()));
+    CHECK(!sessions.isInForce(6, clock.now()));
     clock.advance(leaseMargin);
-    CHECK(sessions.inForce(6, clock.now()));
+    CHECK(sessions.isInForce(6, clock.now()));
 }
 
 // A shard's owner is silent. Until its lease has surely run out it may still grant tokens and place requests, so
@@ -74,12 +74,12 @@
 {
     manual_clock_source clock;
     session_table sessions(clock.now());
-    sessions.heartbeat("vm1", 1, "a", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
+    sessions.applyHeartbeat("vm1", 1, "a", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
     auto first = assignShards({ "limit:0" }, {}, sessions, clock.now());
     REQUIRE(first.size() == 1);
     std::map<std::string, wire::shard_owner> current { { "limit:0", first[0] } };
     clock.advance(schedulerLease);
-    sessions.heartbeat("vm2", 1, "b", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
+    sessions.applyHeartbeat("vm2", 1, "b", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
     CHECK(assignShards({ "limit:0" }, current, sessions, clock.now()).empty());
     clock.advance(leaseMargin);
     auto moved = assignShards({ "limit:0" }, current, sessions, clock.now());
@@ -88,10 +88,10 @@
 
     // A new leader does not know which leases its predecessor gave.
     session_table fresh(clock.now());
-    fresh.heartbeat("vm2", 1, "b", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
+    fresh.applyHeartbeat("vm2", 1, "b", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
     CHECK(assignShards({ "limit:0" }, current, fresh, clock.now()).empty());
     // But a restarted owner proves that its earlier run is over, and one that leaves gives its shards back.
-    fresh.heartbeat("vm1", 2, "a", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
+    fresh.applyHeartbeat("vm1", 2, "a", beat(wire::PROCESS_SCHEDULER, 0), clock.now());
     CHECK(assignShards({ "limit:0" }, current, fresh, clock.now()).size() == 1);
 }
 
@@ -105,6 +105,6 @@
     session_lease lease;
     lease.renew(start, milliseconds(100));
     lease.renew(start - milliseconds(50), milliseconds(100));
-    CHECK(lease.valid(clock.now()));
-    CHECK(!lease.valid(clock.now()));
+    CHECK(lease.isValid(clock.now()));
+    CHECK(!lease.isValid(clock.now()));
 }
