--- a/Source/limits/rate_limiter.h
+++ b/Source/limits/rate_limiter.h
@@ -42,8 +42,8 @@
     {
     }
 
-    /// Sets an organisation's rate in tokens per second and its burst in tokens. A new bucket starts with `startTokens`;
-    /// an existing one keeps its level.
+    /// Sets an organisation's rate in tokens per second and its burst in tokens. A new bucket starts with
+    /// `startTokens`; an existing one keeps its level.
     void configure(const std::string& organisation, std::uint64_t rate, std::uint64_t burst, time_point now, std::uint64_t startTokens = 0);
     /// Removes an organisation that no longer has a limit; collectDecisions() then refuses its queued requests.
     void remove(const std::string& organisation);
--- a/Source/membership/endpoint_directory.cpp
+++ b/Source/membership/endpoint_directory.cpp
@@ -10,8 +10,8 @@
         return report.state() == wire::ENDPOINT_GONE;
     }
 
-    /// Whether two reports differ in what a reader acts on. The sequence is no part of that.
-    bool sameForReaders(const wire::endpoint_report& left, const wire::endpoint_report& right)
+    /// Whether two reports agree in all that readers act on, which excludes the sequence.
+    bool isEquivalentForReaders(const wire::endpoint_report& left, const wire::endpoint_report& right)
     {
         return left.born_ms() == right.born_ms() && left.service() == right.service() && left.address() == right.address()
             && left.data_centre() == right.data_centre() && left.slots() == right.slots() && left.state() == right.state()
@@ -29,35 +29,35 @@
 {
     if (report.born_ms() != known.born_ms())
         return report.born_ms() < known.born_ms();
-    // Within one run nothing follows the end; before it, the sequence orders the reports.
+    // Nothing follows the GONE report of an incarnation; before it, reports are ordered by sequence.
     if (isGone(known))
         return true;
     return !isGone(report) && report.sequence() <= known.sequence();
 }
 
-bool endpoint_directory::mayPrecedeFarewell(known_endpoint& one, const wire::endpoint_report& report, time_point now) const
+bool endpoint_directory::mayPredateGone(known_endpoint& endpoint, const wire::endpoint_report& report, time_point now) const
 {
-    // Its run is newer than any that is known, but so is that of an endpoint which started behind a cut, said farewell,
-    // and whose first reports arrive last. Used again, it would get calls after it was told that none would come.
-    if (!isGone(one.row.report()) || !one.endedUnnamed)
+    // A newer incarnation alone doesn't prove a restart: after a network partition, the first reports of an endpoint
+    // can arrive after its GONE report. Using it again would send calls to an endpoint that is shutting down.
+    if (!isGone(endpoint.row.report()) || !endpoint.goneWithoutIncarnation)
         return false;
-    if (one.reportingRun != report.born_ms()) {
-        one.reportingRun = report.born_ms();
-        one.reportingSince = now;
+    if (endpoint.reportingIncarnation != report.born_ms()) {
+        endpoint.reportingIncarnation = report.born_ms();
+        endpoint.reportingSince = now;
     }
-    return now - one.reportingSince < m_settings.restartConfirmation;
+    return now - endpoint.reportingSince < m_settings.restartConfirmation;
 }
 
-bool endpoint_directory::addressTaken(const wire::endpoint_report& report)
+bool endpoint_directory::resolveAddressConflict(const wire::endpoint_report& report)
 {
     for (auto& [id, other] : m_endpoints) {
-        auto& held = *other.row.mutable_report();
-        if (id == report.id() || held.address() != report.address() || isGone(held))
+        auto& known = *other.row.mutable_report();
+        if (id == report.id() || known.address() != report.address() || isGone(known))
             continue;
-        // A report of an earlier run, held up on the way while another endpoint took the address over.
-        if (held.born_ms() > report.born_ms())
+        // A delayed report of an earlier incarnation; another endpoint has taken over the address.
+        if (known.born_ms() > report.born_ms())
             return true;
-        held.set_state(wire::ENDPOINT_GONE);
+        known.set_state(wire::ENDPOINT_GONE);
         markChanged(other);
     }
     return false;
@@ -70,46 +70,46 @@
         if (found == m_endpoints.end()) {
             known_endpoint gone;
             *gone.row.mutable_report() = report;
-            gone.heardAt = now;
-            gone.endedUnnamed = report.born_ms() == 0;
+            gone.lastReportAt = now;
+            gone.goneWithoutIncarnation = report.born_ms() == 0;
             markChanged(m_endpoints.emplace(report.id(), std::move(gone)).first->second);
             return true;
         }
-        auto& held = *found->second.row.mutable_report();
-        // A farewell may not say which run it ends; it then ends the one that is known.
-        bool otherRun = report.born_ms() != 0 && report.born_ms() < held.born_ms();
-        if (otherRun || isGone(held))
+        auto& known = *found->second.row.mutable_report();
+        // A GONE report that names no incarnation ends the known endpoint.
+        bool endsEarlierIncarnation = report.born_ms() != 0 && report.born_ms() < known.born_ms();
+        if (endsEarlierIncarnation || isGone(known))
             return false;
-        if (report.born_ms() > held.born_ms())
-            held.set_born_ms(report.born_ms());
-        held.set_state(wire::ENDPOINT_GONE);
-        found->second.endedUnnamed = report.born_ms() == 0;
-        found->second.heardAt = now;
+        if (report.born_ms() > known.born_ms())
+            known.set_born_ms(report.born_ms());
+        known.set_state(wire::ENDPOINT_GONE);
+        found->second.goneWithoutIncarnation = report.born_ms() == 0;
+        found->second.lastReportAt = now;
         markChanged(found->second);
         return true;
     }
     if (found != m_endpoints.end() && isOlder(report, found->second.row.report()))
         return false;
-    if (found != m_endpoints.end() && mayPrecedeFarewell(found->second, report, now))
+    if (found != m_endpoints.end() && mayPredateGone(found->second, report, now))
         return false;
     auto before = m_version;
-    if (addressTaken(report))
+    if (resolveAddressConflict(report))
         return m_version != before;
-    auto& one = found == m_endpoints.end() ? m_endpoints[report.id()] : found->second;
-    bool changed = found == m_endpoints.end() || one.row.silent() || !sameForReaders(report, one.row.report());
-    *one.row.mutable_report() = report;
-    one.endedUnnamed = false;
-    one.row.set_silent(false);
-    one.heardAt = now;
+    auto& endpoint = found == m_endpoints.end() ? m_endpoints[report.id()] : found->second;
+    bool changed = found == m_endpoints.end() || endpoint.row.silent() || !isEquivalentForReaders(report, endpoint.row.report());
+    *endpoint.row.mutable_report() = report;
+    endpoint.goneWithoutIncarnation = false;
+    endpoint.row.set_silent(false);
+    endpoint.lastReportAt = now;
     if (changed)
-        markChanged(one);
+        markChanged(endpoint);
     return m_version != before;
 }
 
-bool endpoint_directory::markUnreachable(const std::string& id, std::uint64_t born)
+bool endpoint_directory::markUnreachable(const std::string& id, std::uint64_t bornMs)
 {
     auto found = m_endpoints.find(id);
-    if (found == m_endpoints.end() || found->second.row.silent() || isGone(found->second.row.report()) || found->second.row.report().born_ms() != born)
+    if (found == m_endpoints.end() || found->second.row.silent() || isGone(found->second.row.report()) || found->second.row.report().born_ms() != bornMs)
         return false;
     found->second.row.set_silent(true);
     markChanged(found->second);
@@ -120,18 +120,18 @@
 {
     auto before = m_version;
     for (auto it = m_endpoints.begin(); it != m_endpoints.end();) {
-        auto& one = it->second;
-        auto silence = now - one.heardAt;
-        if (isGone(one.row.report())) {
+        auto& endpoint = it->second;
+        auto silence = now - endpoint.lastReportAt;
+        if (isGone(endpoint.row.report())) {
             it = silence > m_settings.goneRetention ? m_endpoints.erase(it) : std::next(it);
             continue;
         }
         if (silence > m_settings.goneAfter) {
-            one.row.mutable_report()->set_state(wire::ENDPOINT_GONE);
-            markChanged(one);
-        } else if (silence > m_settings.silentAfter && !one.row.silent()) {
-            one.row.set_silent(true);
-            markChanged(one);
+            endpoint.row.mutable_report()->set_state(wire::ENDPOINT_GONE);
+            markChanged(endpoint);
+        } else if (silence > m_settings.silentAfter && !endpoint.row.silent()) {
+            endpoint.row.set_silent(true);
+            markChanged(endpoint);
         }
         ++it;
     }
@@ -141,9 +141,9 @@
 std::vector<wire::endpoint_row> endpoint_directory::changesSince(std::uint64_t version) const
 {
     std::vector<wire::endpoint_row> rows;
-    for (const auto& [id, one] : m_endpoints) {
-        if (one.changedAt > version)
-            rows.push_back(one.row);
+    for (const auto& [id, endpoint] : m_endpoints) {
+        if (endpoint.changedVersion > version)
+            rows.push_back(endpoint.row);
     }
     return rows;
 }
@@ -154,21 +154,21 @@
     return found == m_endpoints.end() ? nullptr : &found->second.row;
 }
 
-directory_page endpoint_directory::pageSince(std::uint64_t version, std::size_t mostRows) const
+directory_page endpoint_directory::pageSince(std::uint64_t version, std::size_t maxRows) const
 {
     std::vector<const known_endpoint*> changed;
-    for (const auto& [id, one] : m_endpoints) {
-        if (one.changedAt > version)
-            changed.push_back(&one);
+    for (const auto& [id, endpoint] : m_endpoints) {
+        if (endpoint.changedVersion > version)
+            changed.push_back(&endpoint);
     }
-    std::sort(changed.begin(), changed.end(), [](const auto* left, const auto* right) { return left->changedAt < right->changedAt; });
+    std::sort(changed.begin(), changed.end(), [](const auto* left, const auto* right) { return left->changedVersion < right->changedVersion; });
     directory_page page;
-    page.more = changed.size() > mostRows;
+    page.more = changed.size() > maxRows;
     if (page.more)
-        changed.resize(mostRows);
-    page.version = page.more ? changed.back()->changedAt : m_version;
-    for (const auto* one : changed)
-        page.rows.push_back(one->row);
+        changed.resize(maxRows);
+    page.version = page.more ? changed.back()->changedVersion : m_version;
+    for (const auto* endpoint : changed)
+        page.rows.push_back(endpoint->row);
     return page;
 }
 
--- a/Source/membership/endpoint_directory.h
+++ b/Source/membership/endpoint_directory.h
@@ -8,48 +8,48 @@
 namespace pistachiolatch {
 
 struct directory_settings {
-    /// Silence after which an endpoint counts as silent. Endpoints announce themselves at a fixed interval; three
-    /// misses and some delay on the way are more than a lossy link explains.
+    /// Time without a report after which an endpoint is marked silent. Endpoints report at a fixed interval; three
+    /// missed reports plus some network delay are more than packet loss explains.
     milliseconds silentAfter { 4000 };
-    /// How long an endpoint that left is remembered, so that announcements delayed on the way don't bring it back.
+    /// How long an endpoint that is gone is kept, so that delayed reports don't add it again.
     milliseconds goneRetention { 60000 };
-    /// How long an endpoint whose farewell named no run must go on reporting before it counts as started again. Reports
-    /// that were held up by a cut come together when it heals; a live endpoint reports every second or so.
+    /// How long an endpoint must keep reporting to count as restarted if its GONE report named no incarnation. Reports
+    /// delayed by a network partition arrive together when it heals; a live endpoint reports about every second.
     milliseconds restartConfirmation { 3000 };
-    /// Silence after which an endpoint counts as gone. A VM that is cut off or suspended comes back within seconds.
+    /// Time without a report after which an endpoint is gone. A VM that is partitioned or suspended returns in seconds.
     milliseconds goneAfter { 30000 };
 };
 
-/// Some of the endpoints that changed.
+/// A page of changed endpoints.
 struct directory_page {
     std::vector<wire::endpoint_row> rows;
-    /// All changes up to this number are in this page or came before it.
+    /// All changes up to this version are in this page or earlier ones.
     std::uint64_t version = 0;
     bool more = false;
 };
 
-/// What is known of the endpoints from their own reports, which may come late, twice, out of order, or from an
-/// earlier run at an address that another endpoint has by now. Each change gets a number, so that a reader asks for
-/// what it hasn't seen.
+/// The state of the endpoints according to their own reports. Reports may be late, duplicated, out of order, or from an
+/// earlier incarnation whose address another endpoint uses now. An incarnation is identified by its `born_ms`. Each
+/// change gets a version, so that readers can request only the changes they haven't seen.
 /// Not thread-safe.
 class endpoint_directory {
 public:
-    /// The source tells one directory's numbers from another's.
+    /// `source` distinguishes the versions of this directory from those of others.
     endpoint_directory(std::uint64_t source, directory_settings settings);
 
-    /// Takes in a report. Returns whether what is known of any endpoint changed.
+    /// Applies a report. Returns whether any endpoint changed.
     bool applyReport(const wire::endpoint_report& report, time_point now);
-    /// Counts an endpoint as silent until its next report, because it could not be reached. A crashed endpoint sends no
-    /// word of it; without this every entry had to find out by a call of its own. Returns whether that is news.
-    bool markUnreachable(const std::string& id, std::uint64_t born);
-    /// Marks endpoints that fell silent. Returns whether any did.
+    /// Marks an endpoint that could not be reached as silent until its next report. A crashed endpoint doesn't report
+    /// its crash; without this, every entry would detect it by a failed call of its own. Returns whether it changed.
+    bool markUnreachable(const std::string& id, std::uint64_t bornMs);
+    /// Marks endpoints as silent or gone and removes old ones. Returns whether any was marked.
     bool expire(time_point now);
     std::uint64_t source() const { return m_source; }
     std::uint64_t version() const { return m_version; }
-    /// The endpoints that changed after the version; those that are gone are among them, marked so.
+    /// The endpoints that changed after the version, including those that are gone.
     std::vector<wire::endpoint_row> changesSince(std::uint64_t version) const;
-    /// The first so many of them, in the order in which they changed.
-    directory_page pageSince(std::uint64_t version, std::size_t mostRows) const;
+    /// At most `maxRows` of these endpoints, in the order in which they changed.
+    directory_page pageSince(std::uint64_t version, std::size_t maxRows) const;
     std::size_t size() const { return m_endpoints.size(); }
     /// The row of an endpoint, or null if it is unknown.
     const wire::endpoint_row* find(const std::string& id) const;
@@ -57,19 +57,20 @@
 private:
     struct known_endpoint {
         wire::endpoint_row row;
-        time_point heardAt;
-        std::uint64_t changedAt = 0;
-        /// Whether its farewell named no run.
-        bool endedUnnamed = false;
-        /// The run that reported after such a farewell, and since when.
-        std::uint64_t reportingRun = 0;
+        time_point lastReportAt;
+        std::uint64_t changedVersion = 0;
+        /// Whether its GONE report named no incarnation.
+        bool goneWithoutIncarnation = false;
+        /// The incarnation that reported after such a GONE report, and since when.
+        std::uint64_t reportingIncarnation = 0;
         time_point reportingSince {};
     };
-    /// Whether a report that follows a farewell without a run may come from before it.
-    bool mayPrecedeFarewell(known_endpoint& one, const wire::endpoint_report& report, time_point now) const;
+    /// Whether a report may predate the GONE report without incarnation that was applied before it.
+    bool mayPredateGone(known_endpoint& endpoint, const wire::endpoint_report& report, time_point now) const;
     bool isOlder(const wire::endpoint_report& report, const wire::endpoint_report& known) const;
-    bool addressTaken(const wire::endpoint_report& report);
-    void markChanged(known_endpoint& one) { one.changedAt = ++m_version; }
+    /// Marks endpoints with the same address as gone unless they started later. Returns true if one started later.
+    bool resolveAddressConflict(const wire::endpoint_report& report);
+    void markChanged(known_endpoint& endpoint) { endpoint.changedVersion = ++m_version; }
 
     std::uint64_t m_source;
     directory_settings m_settings;
--- a/Source/membership/endpoint_table.cpp
+++ b/Source/membership/endpoint_table.cpp
@@ -7,12 +7,12 @@
 
 announcement_effect endpoint_table::applyAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
 {
-    auto heardAt = now - age;
+    auto lastHeard = now - age;
     auto found = m_rows.find(announcement.id());
     if (found == m_rows.end()) {
         if (age >= endpointTimeout)
             return announcement_effect::Stale;
-        m_rows.emplace(announcement.id(), row { announcement, heardAt, true, {} });
+        m_rows.emplace(announcement.id(), row { announcement, lastHeard, true, {} });
         return announcement_effect::Joined;
     }
     auto& known = found->second;
@@ -21,8 +21,8 @@
         return announcement_effect::Stale;
     bool restarted = announcement.incarnation() != known.announcement.incarnation();
     bool wasAlive = known.alive;
-    bool provesLife = restarted || heardAt - known.suspendedAt > maxAnnouncementDelay;
-    known = { announcement, std::max(heardAt, known.heardAt), true, provesLife ? time_point() : known.suspendedAt };
+    bool endsSuspension = restarted || lastHeard - known.suspendedAt > maxAnnouncementDelay;
+    known = { announcement, std::max(lastHeard, known.lastHeard), true, endsSuspension ? time_point() : known.suspendedAt };
     if (announcement.leaving())
         return announcement_effect::Leaving;
     if (restarted)
@@ -39,15 +39,15 @@
 
 std::vector<std::string> endpoint_table::expire(time_point now)
 {
-    std::vector<std::string> gone;
-    for (auto& [id, one] : m_rows) {
-        if (one.alive && now - one.heardAt > endpointTimeout) {
-            one.alive = false;
-            gone.push_back(id);
+    std::vector<std::string> expired;
+    for (auto& [id, endpoint] : m_rows) {
+        if (endpoint.alive && now - endpoint.lastHeard > endpointTimeout) {
+            endpoint.alive = false;
+            expired.push_back(id);
         }
     }
-    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.heardAt > endpointRetention; });
-    return gone;
+    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.lastHeard > endpointRetention; });
+    return expired;
 }
 
 const wire::endpoint_announcement* endpoint_table::find(const std::string& id) const
@@ -59,9 +59,9 @@
 std::vector<const wire::endpoint_announcement*> endpoint_table::serving() const
 {
     std::vector<const wire::endpoint_announcement*> endpoints;
-    for (const auto& [id, one] : m_rows) {
-        if (one.alive && !one.announcement.leaving() && one.suspendedAt == time_point())
-            endpoints.push_back(&one.announcement);
+    for (const auto& [id, endpoint] : m_rows) {
+        if (endpoint.alive && !endpoint.announcement.leaving() && endpoint.suspendedAt == time_point())
+            endpoints.push_back(&endpoint.announcement);
     }
     return endpoints;
 }
@@ -69,8 +69,8 @@
 std::vector<std::string> endpoint_table::alive() const
 {
     std::vector<std::string> ids;
-    for (const auto& [id, one] : m_rows) {
-        if (one.alive)
+    for (const auto& [id, endpoint] : m_rows) {
+        if (endpoint.alive)
             ids.push_back(id);
     }
     return ids;
--- a/Source/membership/endpoint_table.h
+++ b/Source/membership/endpoint_table.h
@@ -7,47 +7,47 @@
 
 namespace pistachiolatch {
 
-/// An endpoint not heard for this long gets no new work.
+/// An endpoint that hasn't announced itself for this long gets no new work.
 constexpr milliseconds endpointTimeout { 3000 };
-/// An announcement that left an endpoint just before its connection broke may still be on its way for this long.
+/// Maximum delay of an announcement that an endpoint sent just before its connection broke.
 constexpr milliseconds maxAnnouncementDelay { 700 };
-/// How long an endpoint gone is remembered, so that a delayed announcement can't bring it back.
+/// How long the row of a silent endpoint is kept, so that a delayed announcement can't add it again.
 constexpr milliseconds endpointRetention { 60000 };
 
 enum class announcement_effect {
-    /// Older than what is known; ignored.
+    /// Not newer than the known announcement; ignored.
     Stale,
     Refreshed,
     Joined,
-    /// The same id under a new incarnation: the earlier one ended.
+    /// The id has a new incarnation: the earlier one has ended.
     Restarted,
     Leaving,
 };
 
-/// The endpoints of one pool as their announcements tell them. Not thread-safe.
+/// The endpoints of one pool, built from their announcements. Not thread-safe.
 class endpoint_table {
 public:
-    /// Takes an announcement that was made `age` before now. Ordered by (incarnation, sequence), so one that was
-    /// delayed on its way can't undo a later one.
+    /// Applies an announcement that was sent `age` ago. Announcements are ordered by (incarnation, sequence), so that a
+    /// delayed one can't overwrite a later one.
     announcement_effect applyAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
-    /// Keeps new work away from an endpoint whose connection just broke, until it is heard again. Without it the next
-    /// requests run into the dead endpoint too and fail, or are taken for what killed it.
+    /// Excludes an endpoint whose connection broke from new work until its next announcement. Otherwise the next
+    /// requests would go to the failed endpoint too, and would fail or be suspected of having crashed it.
     void suspend(const std::string& id, time_point now);
-    /// Drops endpoints not heard lately; returns their ids.
+    /// Marks endpoints as dead after endpointTimeout and returns their ids; removes their rows after endpointRetention.
     std::vector<std::string> expire(time_point now);
-    /// The announcement of an endpoint that is alive, leaving or not; else null.
+    /// The announcement of an endpoint that is alive, even if it is leaving; null otherwise.
     const wire::endpoint_announcement* find(const std::string& id) const;
-    /// Announcements of endpoints that may get new work. The pointers hold until the table is changed.
+    /// Announcements of endpoints that may get new work. The pointers are valid until the table changes.
     std::vector<const wire::endpoint_announcement*> serving() const;
-    /// Ids of all endpoints alive.
+    /// Ids of all endpoints that are alive.
     std::vector<std::string> alive() const;
 
 private:
     struct row {
         wire::endpoint_announcement announcement;
-        time_point heardAt;
+        time_point lastHeard;
         bool alive = true;
-        /// When its connection broke; the start of time when it is not suspended.
+        /// When the connection broke; the epoch if the endpoint is not suspended.
         time_point suspendedAt {};
     };
     std::map<std::string, row> m_rows;
--- a/Source/membership/membership.h
+++ b/Source/membership/membership.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Who takes part: sessions of the own processes under leases, owners of shards, announced endpoints.
-/// This is the library's one public header.
+/// Cluster membership: leased sessions of the processes, shard ownership and announced endpoints.
+/// The only public header of this library.
 #include "membership/endpoint_directory.h"
 #include "membership/endpoint_table.h"
 #include "membership/session_lease.h"
--- a/Source/membership/session_lease.cpp
+++ b/Source/membership/session_lease.cpp
@@ -2,6 +2,6 @@
 
 namespace pistachiolatch {
 
-static_assert(schedulerLease > sessionHeartbeat * 3, "A lease must outlive lost heartbeats.");
+static_assert(schedulerLease > sessionHeartbeat * 3, "A lease must outlast several lost heartbeats.");
 
 } // namespace pistachiolatch
--- a/Source/membership/session_table.cpp
+++ b/Source/membership/session_table.cpp
@@ -9,28 +9,28 @@
     return kind == wire::PROCESS_ENTRY ? entryLease : schedulerLease;
 }
 
-std::string session_table::keyOf(const std::string& name, wire::process_kind kind)
+std::string session_table::sessionKey(const std::string& name, wire::process_kind kind)
 {
     return (kind == wire::PROCESS_ENTRY ? "entry/" : "scheduler/") + name;
 }
 
-bool session_table::applyHeartbeat(const std::string& name, std::uint64_t incarnation, const std::string& address, const wire::session_heartbeat& beat, time_point now)
+bool session_table::applyHeartbeat(const std::string& name, std::uint64_t incarnation, const std::string& address, const wire::session_heartbeat& heartbeat, time_point now)
 {
-    auto& one = m_sessions[keyOf(name, beat.kind())];
-    // A VM whose clock was set back restarts with a lower incarnation; it is let in once the earlier one has lapsed.
-    if (one.process.incarnation() > incarnation && !one.expired)
+    auto& session = m_sessions[sessionKey(name, heartbeat.kind())];
+    // A VM whose clock was set back restarts with a lower incarnation; accept it once the earlier session has expired.
+    if (session.process.incarnation() > incarnation && !session.expired)
         return false;
-    bool changed = one.process.incarnation() != incarnation || one.expired || one.process.leaving() != beat.leaving() || one.process.address() != address;
-    one.process.set_name(name);
-    one.process.set_incarnation(incarnation);
-    one.process.set_kind(beat.kind());
-    one.process.set_address(address);
-    one.process.set_data_centre(beat.data_centre());
-    one.process.set_leaving(beat.leaving());
-    one.appliedRevision = beat.applied_revision();
-    one.maxSchemaVersion = beat.max_schema_version();
-    one.expires = now + leaseDuration(beat.kind()) + leaseMargin;
-    one.expired = false;
+    bool changed = session.process.incarnation() != incarnation || session.expired || session.process.leaving() != heartbeat.leaving() || session.process.address() != address;
+    session.process.set_name(name);
+    session.process.set_incarnation(incarnation);
+    session.process.set_kind(heartbeat.kind());
+    session.process.set_address(address);
+    session.process.set_data_centre(heartbeat.data_centre());
+    session.process.set_leaving(heartbeat.leaving());
+    session.appliedRevision = heartbeat.applied_revision();
+    session.maxSchemaVersion = heartbeat.max_schema_version();
+    session.expiresAt = now + leaseDuration(heartbeat.kind()) + leaseMargin;
+    session.expired = false;
     if (changed)
         ++m_liveVersion;
     return true;
@@ -39,10 +39,10 @@
 std::vector<std::string> session_table::expire(time_point now)
 {
     std::vector<std::string> expiredKeys;
-    for (auto& [key, one] : m_sessions) {
-        if (one.expired || now < one.expires)
+    for (auto& [key, session] : m_sessions) {
+        if (session.expired || now < session.expiresAt)
             continue;
-        one.expired = true;
+        session.expired = true;
         ++m_liveVersion;
         expiredKeys.push_back(key);
     }
@@ -54,29 +54,29 @@
     if (!earlierLeasesExpired(now))
         return false;
     return std::all_of(m_sessions.begin(), m_sessions.end(), [&](const auto& item) {
-        return item.second.appliedRevision >= revision || now >= item.second.expires;
+        return item.second.appliedRevision >= revision || now >= item.second.expiresAt;
     });
 }
 
 std::string session_table::processesBehind(std::uint64_t revision, time_point now) const
 {
     std::string behind;
-    for (const auto& [key, one] : m_sessions) {
-        if (one.appliedRevision < revision && now < one.expires)
+    for (const auto& [key, session] : m_sessions) {
+        if (session.appliedRevision < revision && now < session.expiresAt)
             behind += (behind.empty() ? "" : ",") + key;
     }
     return behind;
 }
 
-bool session_table::mayAct(const std::string& name, std::uint64_t incarnation, time_point now) const
+bool session_table::mayOwnShards(const std::string& name, std::uint64_t incarnation, time_point now) const
 {
-    for (const auto& [key, one] : m_sessions) {
-        if (one.process.name() != name || one.process.kind() != wire::PROCESS_SCHEDULER)
+    for (const auto& [key, session] : m_sessions) {
+        if (session.process.name() != name || session.process.kind() != wire::PROCESS_SCHEDULER)
             continue;
-        if (one.process.incarnation() == incarnation)
-            return now < one.expires && !one.process.leaving();
-        // A newer incarnation on the VM proves that the earlier process has ended.
-        return one.process.incarnation() < incarnation && !earlierLeasesExpired(now);
+        if (session.process.incarnation() == incarnation)
+            return now < session.expiresAt && !session.process.leaving();
+        // A newer incarnation on the same VM proves that the earlier process has ended.
+        return session.process.incarnation() < incarnation && !earlierLeasesExpired(now);
     }
     return !earlierLeasesExpired(now);
 }
@@ -88,12 +88,12 @@
     });
 }
 
-std::uint32_t session_table::commonSchemaVersion(std::uint32_t fallback) const
+std::uint32_t session_table::commonSchemaVersion(std::uint32_t newest) const
 {
-    auto lowest = fallback;
-    for (const auto& [key, one] : m_sessions) {
-        if (!one.expired)
-            lowest = std::min(lowest, one.maxSchemaVersion);
+    auto lowest = newest;
+    for (const auto& [key, session] : m_sessions) {
+        if (!session.expired)
+            lowest = std::min(lowest, session.maxSchemaVersion);
     }
     return lowest;
 }
@@ -101,9 +101,9 @@
 std::vector<wire::live_process> session_table::liveProcesses() const
 {
     std::vector<wire::live_process> processes;
-    for (const auto& [key, one] : m_sessions) {
-        if (!one.expired)
-            processes.push_back(one.process);
+    for (const auto& [key, session] : m_sessions) {
+        if (!session.expired)
+            processes.push_back(session.process);
     }
     return processes;
 }
--- a/Source/membership/shard_assigner.cpp
+++ b/Source/membership/shard_assigner.cpp
@@ -7,37 +7,37 @@
 namespace {
     struct candidate {
         wire::live_process process;
-        std::size_t shards = 0;
+        std::size_t ownedShards = 0;
     };
 
-    std::vector<candidate> candidates(const std::map<std::string, wire::shard_owner>& current, const session_table& sessions, time_point now)
+    std::vector<candidate> findCandidates(const std::map<std::string, wire::shard_owner>& current, const session_table& sessions, time_point now)
     {
-        std::vector<candidate> list;
+        std::vector<candidate> candidates;
         for (const auto& process : sessions.liveProcesses()) {
-            if (process.kind() != wire::PROCESS_SCHEDULER || !sessions.mayAct(process.name(), process.incarnation(), now))
+            if (process.kind() != wire::PROCESS_SCHEDULER || !sessions.mayOwnShards(process.name(), process.incarnation(), now))
                 continue;
-            candidate one { process, 0 };
+            candidate scheduler { process, 0 };
             for (const auto& [name, owner] : current)
-                one.shards += owner.scheduler() == process.name() && owner.incarnation() == process.incarnation() ? 1 : 0;
-            list.push_back(std::move(one));
+                scheduler.ownedShards += owner.scheduler() == process.name() && owner.incarnation() == process.incarnation() ? 1 : 0;
+            candidates.push_back(std::move(scheduler));
         }
-        return list;
+        return candidates;
     }
 }
 
-std::vector<wire::shard_owner> assignShards(const std::vector<std::string>& wanted, const std::map<std::string, wire::shard_owner>& current,
+std::vector<wire::shard_owner> assignShards(const std::vector<std::string>& shards, const std::map<std::string, wire::shard_owner>& current,
     const session_table& sessions, time_point now)
 {
     std::vector<wire::shard_owner> assigned;
-    auto list = candidates(current, sessions, now);
-    if (list.empty())
+    auto candidates = findCandidates(current, sessions, now);
+    if (candidates.empty())
         return assigned;
-    for (const auto& shard : wanted) {
+    for (const auto& shard : shards) {
         auto found = current.find(shard);
-        if (found != current.end() && sessions.mayAct(found->second.scheduler(), found->second.incarnation(), now))
+        if (found != current.end() && sessions.mayOwnShards(found->second.scheduler(), found->second.incarnation(), now))
             continue;
-        auto chosen = std::min_element(list.begin(), list.end(), [](const auto& a, const auto& b) { return a.shards < b.shards; });
-        ++chosen->shards;
+        auto chosen = std::min_element(candidates.begin(), candidates.end(), [](const auto& a, const auto& b) { return a.ownedShards < b.ownedShards; });
+        ++chosen->ownedShards;
         wire::shard_owner owner;
         owner.set_shard(shard);
         owner.set_scheduler(chosen->process.name());
--- a/Tests/Limits/RateLimiterTest.cpp
+++ b/Tests/Limits/RateLimiterTest.cpp
@@ -49,7 +49,8 @@
     for (int step = 0; step < 2000; ++step) {
         clock.advance(milliseconds(10));
         if (step % 500 == 250) {
-            // The owner fails and its lease expires; its successor starts with empty buckets after all old grants expired.
+            // The owner fails and its lease expires; its successor starts with empty buckets after all old grants
+            // expired.
             clock.advance(milliseconds(1750));
             limiter = std::make_unique<rate_limiter>(clock.now() + limitGrantLifetime);
             limiter->configure("alpha", rate, burst, clock.now());
@@ -84,8 +85,8 @@
     CHECK(total > 20 * rate * 8 / 10);
 }
 
-// A large request waits for tokens while small ones from other VMs keep arriving. Serving requests in arrival order prevents
-// starvation.
+// A large request waits for tokens while small ones from other VMs keep arriving. Serving requests in arrival order
+// prevents starvation.
 TEST_CASE("Small requests do not starve a large one")
 {
     manual_clock_source clock;
@@ -104,7 +105,8 @@
 
 // Guards against refusing cheap calls, such as lookups and bookings, as over the rate while expensive ones, such as
 // reports, are served. Large requests arrive at twice the rate and use up every refill, so a small one finds the bucket
-// empty or is queued behind large ones past its maximum wait. Large requests must leave part of the bucket to small ones.
+// empty or is queued behind large ones past its maximum wait. Large requests must leave part of the bucket to small
+// ones.
 TEST_CASE("Large requests do not starve small ones of the same organisation")
 {
     constexpr std::uint64_t highRate = 50'000;
--- a/Tests/Membership/EndpointDirectoryTest.cpp
+++ b/Tests/Membership/EndpointDirectoryTest.cpp
@@ -4,11 +4,11 @@
 using namespace pistachiolatch;
 
 namespace {
-wire::endpoint_report reportOf(const std::string& id, std::uint64_t born, std::uint64_t sequence, const std::string& address = "10.0.0.1:80")
+wire::endpoint_report reportOf(const std::string& id, std::uint64_t bornMs, std::uint64_t sequence, const std::string& address = "10.0.0.1:80")
 {
     wire::endpoint_report report;
     report.set_id(id);
-    report.set_born_ms(born);
+    report.set_born_ms(bornMs);
     report.set_sequence(sequence);
     report.set_address(address);
     report.set_service("app");
@@ -31,10 +31,10 @@
 }
 }
 
-// Callers see: calls go to an endpoint that said it was leaving, and are cut off when it goes.
-// Order: the endpoint reports serving, then leaving; the first report is held up on the way and arrives last.
-// Why: reports are ordered by the sequence of one run, not by their arrival.
-TEST_CASE("A report that comes late does not bring a leaving endpoint back")
+// Guards against sending calls to a leaving endpoint, which would abort them when it stops. The endpoint reports that
+// it is serving and then that it is leaving, and the first report arrives last. Reports of an incarnation must be
+// ordered by sequence, not by arrival.
+TEST_CASE("A delayed report does not reactivate a leaving endpoint")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
@@ -47,10 +47,10 @@
     CHECK(rowOf(directory.changesSince(0), "a")->report().state() == wire::ENDPOINT_SERVING);
 }
 
-// Callers see: calls for one service reach an endpoint of another.
-// Order: an endpoint crashes, another takes its address; a report of the crashed one arrives late.
-// Why: of two endpoints at one address the one that was started later is there; the other is gone.
-TEST_CASE("An address belongs to the endpoint that was started last")
+// Guards against sending calls for one service to an endpoint of another. An endpoint crashes, another one takes over
+// its address, and a report of the crashed one arrives late. Of two endpoints with one address, the later started is
+// live.
+TEST_CASE("An address belongs to the endpoint that started last")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
@@ -61,7 +61,7 @@
     CHECK(rowOf(directory.changesSince(0), "ghost") == nullptr);
 }
 
-TEST_CASE("A farewell that names no run ends the known one, and one of an earlier run ends nothing")
+TEST_CASE("A GONE report without incarnation ends the known one, and one of an earlier incarnation is ignored")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
@@ -71,10 +71,10 @@
     CHECK_FALSE(directory.applyReport(reportOf("a", 200, 2), clock.now()));
 }
 
-// Callers see: calls wait for an engine that crashed a second ago, and are refused when it can't be reached.
-// Order: the engine crashes; one entry can't connect; the others go on choosing it until its silence shows.
-// Why: the entry's word counts until the endpoint's next report, which a crashed one doesn't send.
-TEST_CASE("An endpoint that can't be reached counts as silent until its next report")
+// Guards against calls that wait for an engine which has just crashed and are then refused as it can't be reached. One
+// entry fails to connect, and the others keep choosing the engine until its reports time out. What the entry reports
+// must hold until the endpoint's next report, which a crashed one doesn't send.
+TEST_CASE("An unreachable endpoint is marked silent until its next report")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
@@ -87,41 +87,41 @@
     CHECK_FALSE(rowOf(directory.changesSince(0), "a")->silent());
 }
 
-TEST_CASE("A reader gets what changed since its version, and silence is a change")
+TEST_CASE("A reader gets the changes since its version, including endpoints that became silent")
 {
     manual_clock_source clock;
     directory_settings settings;
     endpoint_directory directory(1, settings);
     directory.applyReport(reportOf("a", 100, 1, "10.0.0.1:80"), clock.now());
     directory.applyReport(reportOf("b", 100, 1, "10.0.0.2:80"), clock.now());
-    auto seen = directory.version();
+    auto seenVersion = directory.version();
     clock.advance(settings.silentAfter / 2);
     CHECK_FALSE(directory.applyReport(reportOf("a", 100, 2, "10.0.0.1:80"), clock.now()));
-    CHECK(directory.changesSince(seen).empty());
+    CHECK(directory.changesSince(seenVersion).empty());
     clock.advance(settings.silentAfter / 2 + milliseconds(1));
     CHECK(directory.expire(clock.now()));
-    auto rows = directory.changesSince(seen);
+    auto rows = directory.changesSince(seenVersion);
     REQUIRE(rows.size() == 1);
     CHECK(rows[0].report().id() == "b");
     CHECK(rows[0].silent());
     CHECK(directory.applyReport(reportOf("b", 100, 2, "10.0.0.2:80"), clock.now()));
-    CHECK_FALSE(rowOf(directory.changesSince(seen), "b")->silent());
+    CHECK_FALSE(rowOf(directory.changesSince(seenVersion), "b")->silent());
 }
 
-// Callers see: a call reaches an engine seconds after it said that it leaves, and is cut off when it ends.
-// Order: an engine starts behind a cut; its first reports are held up; its farewell, which names no run, arrives first;
-// the reports follow when the cut heals.
-// Why: a farewell without a run ends every run that began before it, also one not heard of yet.
-TEST_CASE("A farewell that names no run holds against reports that were held up on the way")
+// Guards against sending a call to an engine seconds after it announced its shutdown, which would abort the call. An
+// engine starts during a network partition. Its GONE report, which names no incarnation, arrives before its first
+// reports, which are delayed until the partition heals. A GONE report without incarnation must end every incarnation
+// that started before it, even one that is not known yet.
+TEST_CASE("Delayed reports don't override a GONE report without incarnation")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
     auto known = GENERATE(false, true);
     if (known)
         directory.applyReport(reportOf("d1", 10, 1), clock.now());
-    auto farewell = reportOf("d1", 0, 0);
-    farewell.set_state(wire::ENDPOINT_GONE);
-    CHECK(directory.applyReport(farewell, clock.now()));
+    auto goneReport = reportOf("d1", 0, 0);
+    goneReport.set_state(wire::ENDPOINT_GONE);
+    CHECK(directory.applyReport(goneReport, clock.now()));
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
         clock.advance(milliseconds(900));
         CHECK_FALSE(directory.applyReport(reportOf("d1", 20, sequence), clock.now()));
@@ -129,23 +129,23 @@
     CHECK(directory.changesSince(0).front().report().state() == wire::ENDPOINT_GONE);
 }
 
-// Callers see: an engine that was started again under its name stays unused.
-// Order: an engine says farewell without naming its run, ends, and starts again under the same name.
-// Why: what goes on reporting for longer than reports are held up is alive; a run named by its farewell hinders no later one.
-TEST_CASE("A new run under an old name is used once it goes on reporting")
+// Guards against ignoring an engine that restarted under the same name after a GONE report without incarnation. An
+// engine that keeps reporting for longer than reports can be delayed is alive. A GONE report that names its incarnation
+// must not delay a later one.
+TEST_CASE("A restarted endpoint is used once it keeps reporting")
 {
     manual_clock_source clock;
     endpoint_directory directory(1, {});
     directory.applyReport(reportOf("d1", 10, 1), clock.now());
-    auto farewell = reportOf("d1", 0, 0);
-    farewell.set_state(wire::ENDPOINT_GONE);
-    directory.applyReport(farewell, clock.now());
+    auto goneReport = reportOf("d1", 0, 0);
+    goneReport.set_state(wire::ENDPOINT_GONE);
+    directory.applyReport(goneReport, clock.now());
     clock.advance(milliseconds(1000));
     directory.applyReport(reportOf("d1", 20, 1), clock.now());
     clock.advance(directory_settings {}.restartConfirmation);
     CHECK(directory.applyReport(reportOf("d1", 20, 4), clock.now()));
     CHECK(directory.changesSince(0).front().report().state() == wire::ENDPOINT_SERVING);
-    farewell.set_born_ms(20);
-    CHECK(directory.applyReport(farewell, clock.now()));
+    goneReport.set_born_ms(20);
+    CHECK(directory.applyReport(goneReport, clock.now()));
     CHECK(directory.applyReport(reportOf("d1", 30, 1), clock.now()));
 }
