--- a/Source/limits/token_bucket.cpp
+++ b/Source/limits/token_bucket.cpp
@@ -6,16 +6,16 @@
 
 namespace pistachiolatch {
 
-std::uint64_t token_bucket::capacityOf(std::uint64_t rate, std::uint64_t burst)
+std::uint64_t token_bucket::computeCapacity(std::uint64_t rate, std::uint64_t burst)
 {
-    auto reserve = rate * static_cast<std::uint64_t>(limitGrantLifetime.count()) / 1000;
-    return burst > reserve ? burst - reserve : 1;
+    auto lateUseMargin = rate * static_cast<std::uint64_t>(limitGrantLifetime.count()) / 1000;
+    return burst > lateUseMargin ? burst - lateUseMargin : 1;
 }
 
-token_bucket::token_bucket(std::uint64_t rate, std::uint64_t burst, time_point fillFrom)
+token_bucket::token_bucket(std::uint64_t rate, std::uint64_t burst, time_point fillStart)
     : m_rate(rate)
-    , m_capacity(capacityOf(rate, burst))
-    , m_filledAt(fillFrom)
+    , m_capacity(computeCapacity(rate, burst))
+    , m_lastRefill(fillStart)
 {
 }
 
@@ -23,20 +23,20 @@
 {
     refill(now);
     m_rate = rate;
-    m_capacity = capacityOf(rate, burst);
+    m_capacity = computeCapacity(rate, burst);
     m_level = std::min(m_level, static_cast<double>(m_capacity));
 }
 
 void token_bucket::refill(time_point now)
 {
-    if (now <= m_filledAt)
+    if (now <= m_lastRefill)
         return;
-    auto seconds = std::chrono::duration<double>(now - m_filledAt).count();
+    auto seconds = std::chrono::duration<double>(now - m_lastRefill).count();
     m_level = std::min(static_cast<double>(m_capacity), m_level + seconds * static_cast<double>(m_rate));
-    m_filledAt = now;
+    m_lastRefill = now;
 }
 
-bool token_bucket::take(std::uint64_t tokens, time_point now)
+bool token_bucket::tryConsume(std::uint64_t tokens, time_point now)
 {
     refill(now);
     if (m_level < static_cast<double>(tokens))
@@ -45,7 +45,7 @@
     return true;
 }
 
-void token_bucket::giveBack(std::uint64_t tokens, time_point now)
+void token_bucket::refund(std::uint64_t tokens, time_point now)
 {
     refill(now);
     m_level = std::min(static_cast<double>(m_capacity), m_level + static_cast<double>(tokens));
@@ -57,13 +57,13 @@
     return m_level;
 }
 
-milliseconds token_bucket::waitFor(std::uint64_t tokens, time_point now)
+milliseconds token_bucket::timeUntilAvailable(std::uint64_t tokens, time_point now)
 {
     refill(now);
     auto missing = static_cast<double>(tokens) - m_level;
-    auto notFilling = std::max(duration::zero(), m_filledAt - now);
+    auto untilFillStart = std::max(duration::zero(), m_lastRefill - now);
     auto wait = missing <= 0 ? 0.0 : std::ceil(missing * 1000.0 / static_cast<double>(m_rate));
-    return milliseconds(static_cast<std::int64_t>(wait)) + std::chrono::ceil<milliseconds>(notFilling);
+    return milliseconds(static_cast<std::int64_t>(wait)) + std::chrono::ceil<milliseconds>(untilFillStart);
 }
 
 } // namespace pistachiolatch
