--- a/Source/coordination/control_link.cpp
+++ b/Source/coordination/control_link.cpp
@@ -332,11 +332,11 @@
     wire::envelope message;
     auto& release = *message.mutable_engine_release();
     release.set_call_id(ended.callId);
-    release.set_generated(ended.figures.generated);
-    release.set_generating_ms(static_cast<std::uint32_t>(ended.figures.generating.count()));
-    release.set_read_tokens(ended.figures.readTokens);
-    release.set_reading_ms(static_cast<std::uint32_t>(ended.figures.reading.count()));
-    release.set_first_event_ms(static_cast<std::uint32_t>(ended.figures.firstEvent.count()));
+    release.set_generated(ended.figures.generatedTokens);
+    release.set_generating_ms(static_cast<std::uint32_t>(ended.figures.generationTime.count()));
+    release.set_read_tokens(ended.figures.prefillTokens);
+    release.set_reading_ms(static_cast<std::uint32_t>(ended.figures.prefillTime.count()));
+    release.set_first_event_ms(static_cast<std::uint32_t>(ended.figures.firstEventDelay.count()));
     for (const auto& id : ended.outcomes.succeeded)
         release.add_succeeded(id);
     for (const auto& id : ended.outcomes.failed)
--- a/Source/coordination/control_link.h
+++ b/Source/coordination/control_link.h
@@ -40,7 +40,7 @@
 /// A try at a model call that has ended.
 struct ended_try {
     std::uint64_t callId = 0;
-    call_figures figures;
+    call_measurements figures;
     engine_outcomes outcomes;
 };
 
--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -135,7 +135,7 @@
         // A new leader starts without blocks; during its first lease period it adopts the certain blocks that entries hold.
         if (m_clock.now() - m_leadsSince < m_settings.entryLease)
             m_blocks.adopt(sync.blocked(), m_clock.now());
-        m_planner.takeCalls(session.name, { sync.calls().begin(), sync.calls().end() }, m_clock.now());
+        m_planner.replaceCalls(session.name, { sync.calls().begin(), sync.calls().end() }, m_clock.now());
         if (sync.leaving())
             forgetEntry(from.get());
         update.set_leads(true);
@@ -182,8 +182,8 @@
     auto found = m_entries.find(entry);
     if (found == m_entries.end())
         return;
-    m_planner.forgetEntry(found->second.name);
-    m_queue.forget(found->second.name);
+    m_planner.removeEntry(found->second.name);
+    m_queue.removeEntry(found->second.name);
     m_loads.forget(found->second.name);
     m_pacer.forget(entry);
     m_entries.erase(found);
--- a/Source/coordination/entry_coordinator.h
+++ b/Source/coordination/entry_coordinator.h
@@ -8,7 +8,7 @@
 #include "membership/membership.h"
 #include "replication/replication.h"
 #include "routing/routing.h"
-#include "scheduling/plan_queue.h"
+#include "scheduling/placement_queue.h"
 #include <functional>
 #include <optional>
 
@@ -103,7 +103,7 @@
     void onPlanRequest(const wire::envelope& message, const peer_network::peer& from);
     void onRelease(const wire::envelope& message, const peer_network::peer& from);
     void answerPlans();
-    void answerPlan(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter);
+    void answerPlan(std::uint64_t ticket, const engine_placement& plan, milliseconds retryAfter);
     void forgetEntry(peer_connection* entry);
     void refreshPlanner();
     void balanceStages();
@@ -138,7 +138,7 @@
     /// The directory's version that the planner has.
     std::uint64_t m_planned = 0;
     std::uint64_t m_lastEntry = 0;
-    plan_queue m_queue;
+    placement_queue m_queue;
     std::map<std::uint64_t, waiting_answer> m_waitingPlans;
     boost::asio::steady_timer m_planTimer;
     bool m_planTimerArmed = false;
--- a/Source/coordination/entry_coordinator_plans.cpp
+++ b/Source/coordination/entry_coordinator_plans.cpp
@@ -7,9 +7,9 @@
     /// How often calls that wait for memory are looked at, beside whenever a call ends.
     constexpr milliseconds planInterval { 30 };
 
-    engine_ask readAsk(const wire::engine_plan_request& asked)
+    placement_request readAsk(const wire::engine_plan_request& asked)
     {
-        engine_ask ask;
+        placement_request ask;
         ask.callId = asked.call_id();
         ask.service = asked.service();
         ask.dataCentre = asked.data_centre();
@@ -27,7 +27,7 @@
     if (m_planned == m_directory.version())
         return;
     for (const auto& row : m_directory.changesSince(m_planned))
-        m_planner.takeEndpoint(row);
+        m_planner.updateEndpoint(row);
     m_planned = m_directory.version();
 }
 
@@ -43,19 +43,19 @@
     auto now = m_clock.now();
     auto ticket = ++m_lastTicket;
     m_waitingPlans[ticket] = { from, message };
-    plan_question question;
+    queued_request question;
     question.ticket = ticket;
     question.entry = m_entries[from.get()].name;
-    question.ask = readAsk(asked);
-    question.giveUpAt = now + milliseconds(asked.patience_ms());
+    question.request = readAsk(asked);
+    question.waitDeadline = now + milliseconds(asked.patience_ms());
     // An entry of an earlier version doesn't tell.
-    question.targetAt = asked.target_left_ms() > 0 ? now + milliseconds(asked.target_left_ms()) : time_point::max();
-    question.begun = asked.begun();
+    question.firstEventDeadline = asked.target_left_ms() > 0 ? now + milliseconds(asked.target_left_ms()) : time_point::max();
+    question.streamStarted = asked.begun();
     m_queue.add(std::move(question));
     answerPlans();
 }
 
-void entry_coordinator::answerPlan(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter)
+void entry_coordinator::answerPlan(std::uint64_t ticket, const engine_placement& plan, milliseconds retryAfter)
 {
     auto found = m_waitingPlans.find(ticket);
     if (found == m_waitingPlans.end())
@@ -77,7 +77,7 @@
 {
     refreshPlanner();
     for (const auto& verdict : m_queue.step(m_planner, m_clock.now()))
-        answerPlan(verdict.ticket, verdict.plan, verdict.retryAfter);
+        answerPlan(verdict.ticket, verdict.placement, verdict.retryAfter);
     if (m_queue.empty() || m_planTimerArmed)
         return;
     m_planTimerArmed = true;
@@ -95,14 +95,14 @@
     if (session == m_entries.end())
         return;
     const auto& release = message.engine_release();
-    call_figures figures { release.generated(), milliseconds(release.generating_ms()), release.read_tokens(), milliseconds(release.reading_ms()), milliseconds(release.first_event_ms()) };
+    call_measurements figures { release.generated(), milliseconds(release.generating_ms()), release.read_tokens(), milliseconds(release.reading_ms()), milliseconds(release.first_event_ms()) };
     m_planner.release(session->second.name, release.call_id(), figures);
     for (const auto& id : release.succeeded())
-        m_planner.noteSuccess(id);
+        m_planner.recordSuccess(id);
     for (const auto& id : release.failed())
-        m_planner.noteFailure(id, m_clock.now());
+        m_planner.recordFailure(id, m_clock.now());
     for (const auto& id : release.refused())
-        m_planner.noteRefusal(id, m_clock.now());
+        m_planner.recordRefusal(id, m_clock.now());
     if (!m_queue.empty())
         answerPlans();
 }
--- a/Source/coordination/entry_coordinator_stages.cpp
+++ b/Source/coordination/entry_coordinator_stages.cpp
@@ -17,18 +17,18 @@
     if (!m_orders || !m_replica.leads() || now < m_leadsSince + learnStages)
         return;
     refreshPlanner();
-    auto change = m_planner.stageToChange(now);
-    const auto* report = change ? m_planner.reportOf(change->engine) : nullptr;
+    auto change = m_planner.chooseStageChange(now);
+    const auto* report = change ? m_planner.findReport(change->engine) : nullptr;
     if (!report)
         return;
-    m_planner.beginChange(*change, now + changeLasts);
+    m_planner.startStageChange(*change, now + changeLasts);
     auto term = m_replica.term();
     stage_order order { change->engine, change->to, m_settings.vm, term, 0 };
     auto stillLeads = [this, term] { return m_replica.leads() && m_replica.term() == term; };
     m_metrics.count("stage_orders");
     m_orders->give(report->address(), std::move(order), stillLeads, [this, engine = change->engine](bool accepted) {
         if (!accepted)
-            m_planner.endChange(engine, m_clock.now());
+            m_planner.cancelStageChange(engine, m_clock.now());
     });
 }
 
--- a/Source/coordination/request_blocks.cpp
+++ b/Source/coordination/request_blocks.cpp
@@ -11,7 +11,7 @@
 
 std::uint32_t request_blocks::suspect(const wire::crash_report& report, time_point now)
 {
-    m_suspects.suspect(report, now);
+    m_suspects.recordCrash(report, now);
     refresh(now);
     return m_suspects.countsByFingerprint()[report.fingerprint()].total();
 }
@@ -21,7 +21,7 @@
     if (m_suspects.empty())
         return;
     if (report.state() == wire::ENDPOINT_GONE)
-        m_suspects.onFarewell(report.id());
+        m_suspects.onShutdown(report.id());
     else
         m_suspects.onAnnounced(report.id(), report.born_ms(), now);
     refresh(now);
@@ -53,7 +53,7 @@
 
 void request_blocks::clear()
 {
-    m_suspects = crash_suspects();
+    m_suspects = crash_tracker();
     m_certain.clear();
     refresh({});
 }
@@ -62,7 +62,7 @@
 {
     auto counts = m_suspects.countsByFingerprint();
     for (const auto& [fingerprint, count] : counts) {
-        if (count.certain >= crash_suspects::crashesToBlock)
+        if (count.certain >= crash_tracker::crashesToBlock)
             m_certain.try_emplace(fingerprint, now + m_settings.blockLifetime);
     }
     std::erase_if(m_certain, [now](const auto& item) { return item.second < now; });
@@ -78,7 +78,7 @@
     for (const auto& [fingerprint, until] : m_certain)
         add(fingerprint, true);
     for (const auto& [fingerprint, count] : counts) {
-        if (count.total() >= crash_suspects::crashesToBlock && !m_certain.count(fingerprint))
+        if (count.total() >= crash_tracker::crashesToBlock && !m_certain.count(fingerprint))
             add(fingerprint, false);
     }
     if (blocks.SerializeAsString() == m_blocks.SerializeAsString())
--- a/Source/coordination/request_blocks.h
+++ b/Source/coordination/request_blocks.h
@@ -15,7 +15,7 @@
 };
 
 /// Decides which requests entries refuse because endpoints crash while running them. A request is blocked once connections
-/// to crash_suspects::crashesToBlock endpoints broke while they ran it. The block becomes certain when those endpoints have
+/// to crash_tracker::crashesToBlock endpoints broke while they ran it. The block becomes certain when those endpoints have
 /// restarted or fallen silent. A suspicion is removed when the endpoint reports again from the same run, since then only the
 /// connection broke, or when it says farewell. Performs no I/O. Not thread-safe.
 class request_blocks {
@@ -44,7 +44,7 @@
     void refresh(time_point now);
 
     block_settings m_settings;
-    crash_suspects m_suspects;
+    crash_tracker m_suspects;
     /// Expiry times of certain blocks, by fingerprint.
     std::map<std::uint64_t, time_point> m_certain;
     wire::blocked_requests m_blocks;
--- a/Source/entry/model_call.cpp
+++ b/Source/entry/model_call.cpp
@@ -158,7 +158,7 @@
     if (end.callerGone)
         return caller_error { reason::CallerGone, run_state::MayHaveRun, milliseconds(0), "" };
     m_crashes += end.suspectedCrash ? 1 : 0;
-    if (m_crashes >= crash_suspects::crashesToBlock)
+    if (m_crashes >= crash_tracker::crashesToBlock)
         return caller_error { reason::PoisonRequest, run_state::MayHaveRun, milliseconds(0), "" };
     if (attempt + 1 >= mostAttempts || !isWorthAnotherAttempt(end.why))
         return caller_error { end.why, run_state::MayHaveRun, retryLater, "" };
--- a/Source/forwarding/forward_call.h
+++ b/Source/forwarding/forward_call.h
@@ -8,7 +8,7 @@
 #include "forwarding/repeat_policy.h"
 #include "forwarding/shared_retry_budget.h"
 #include "forwarding/stall_policy.h"
-#include "scheduling/output_forecast.h"
+#include "scheduling/output_estimator.h"
 #include <boost/asio/steady_timer.hpp>
 
 namespace pistachiolatch {
@@ -23,7 +23,7 @@
     endpoint_roster& roster;
     connection_pool& pool;
     shared_retry_budget& budget;
-    output_forecast& outputs;
+    output_estimator& outputs;
     std::mt19937_64& random;
     /// Whether the entry is shutting down; answers then close their connections.
     const bool& draining;
@@ -178,7 +178,7 @@
     std::uint64_t m_eventsHere = 0;
     time_point m_generatingSince {};
     /// What this try told of engines' speed and health.
-    call_figures m_figures;
+    call_measurements m_figures;
     engine_outcomes m_outcomes;
     /// Since when the stream's next bytes are awaited; zero while a slow caller holds it back.
     time_point m_quietSince {};
--- a/Source/forwarding/forward_call_answers.h
+++ b/Source/forwarding/forward_call_answers.h
@@ -63,7 +63,7 @@
         co_return attempt_end::MayHaveRun;
     }
     bool serverError = status >= 500;
-    bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->mostEndpoints && !m_answerBegun;
+    bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->maxEndpoints && !m_answerBegun;
     if (serverError)
         judge(endpoint.id, endpoint_verdict::Failed);
     if (serverError && mayGoElsewhere)
--- a/Source/forwarding/forward_call_model.h
+++ b/Source/forwarding/forward_call_model.h
@@ -58,8 +58,8 @@
         }
         m_shared.roster.endCall(m_callId);
         auto generating = m_generatingSince == time_point {} ? milliseconds(0) : std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_generatingSince);
-        m_figures.generated = m_eventsHere * m_service->engine->tokensPerEvent;
-        m_figures.generating = generating;
+        m_figures.generatedTokens = m_eventsHere * m_service->engine->tokensPerEvent;
+        m_figures.generationTime = generating;
         m_shared.link.release({ m_callId, std::exchange(m_figures, {}), std::exchange(m_outcomes, {}) });
         if (end == attempt_end::Answered)
             co_return;
@@ -94,7 +94,7 @@
 {
     if (!m_head.tokens)
         return 0;
-    return m_shared.outputs.expect(m_route->name, m_head.tokens->output, m_head.expectedOutput);
+    return m_shared.outputs.estimate(m_route->name, m_head.tokens->output, m_head.expectedOutput);
 }
 
 template <call_dialect Dialect>
@@ -241,9 +241,9 @@
             m_firstPrefillDone = true;
             m_promptReadAt = endpoint->id;
             m_prefill = prefill_result { endpoint->address, endpoint->dataCentre, *handle, m_shared.clock.now() };
-            m_figures.readTokens = m_head.tokens ? m_head.tokens->prompt : 0;
+            m_figures.prefillTokens = m_head.tokens ? m_head.tokens->prompt : 0;
             m_promptReadIn = std::chrono::duration_cast<milliseconds>(m_prefill->at - now);
-            m_figures.reading = m_promptReadIn;
+            m_figures.prefillTime = m_promptReadIn;
             co_return;
         }
         if (!ended())
--- a/Source/forwarding/forward_call_steps.h
+++ b/Source/forwarding/forward_call_steps.h
@@ -29,7 +29,7 @@
     /// When a call's tokens are not stated, it counts the organisation's figure for plain calls.
     inline std::uint64_t tokensOf(const organisation_config& organisation, const call_head& head)
     {
-        if (!organisation.countsTokens)
+        if (!organisation.limitsTokens)
             return 1;
         return head.tokens ? head.tokens->prompt + head.tokens->output : organisation.plainTokens;
     }
@@ -82,7 +82,7 @@
         co_await refuse(refusal);
     } else if (!ended()) {
         auto& service = chooseService(*m_route, std::uniform_real_distribution<double>()(m_shared.random));
-        m_service = m_table->service(service);
+        m_service = m_table->findService(service);
         bool isModelCall = m_service->engine && m_route->kind == call_kind::Stream;
         if (isModelCall)
             co_await runModel();
@@ -118,10 +118,10 @@
     m_route = m_table->find(host, target);
     if (!m_route)
         return refusal(reason::NotFound);
-    if (m_table->needsKeys() && !m_route->keyless) {
+    if (m_table->requiresKeys() && !m_route->isPublic) {
         if (m_head.key.empty())
             return refusal(reason::MissingKey);
-        m_organisation = m_table->organisationOf(m_head.key);
+        m_organisation = m_table->findOrganisation(m_head.key);
         if (!m_organisation)
             return refusal(reason::UnknownKey);
     }
@@ -303,8 +303,8 @@
 bool forward_call<Dialect>::tryAgainAfter(attempt_end end, const std::string& endpointId)
 {
     m_tried.insert(endpointId);
-    m_noRetryReason = noRetryReasonAfter({ end, m_route->kind, m_route->resumable, m_mayHaveRunAt, m_route->mostEndpoints, timeLeft() });
-    if (m_crashes >= crash_suspects::crashesToBlock)
+    m_noRetryReason = noRetryReasonAfter({ end, m_route->kind, m_route->resumable, m_mayHaveRunAt, m_route->maxEndpoints, timeLeft() });
+    if (m_crashes >= crash_tracker::crashesToBlock)
         m_noRetryReason = no_retry_reason::Poison;
     // A send that never left is no burden on any endpoint, so it needs no budget.
     bool needsBudget = m_noRetryReason == no_retry_reason::None && end != attempt_end::NotSent;
@@ -332,7 +332,7 @@
     m_endpoints += (m_endpoints.empty() ? "" : ",") + endpoint.id;
     orders.timeLeft = timeLeft();
     connection->beginSend(Dialect::encodeAttempt(m_request, orders));
-    bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->mostEndpoints;
+    bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->maxEndpoints;
     if (mayGoElsewhere)
         armAttempt(std::max(m_route->latencyTarget * forwarding_detail::patienceInTargets, milliseconds(300)));
     auto end = co_await receive(endpoint);
@@ -418,7 +418,7 @@
 void forward_call<Dialect>::logCut(std::string_view why) const
 {
     auto latestVersion = m_shared.link.table() ? m_shared.link.table()->version() : 0;
-    logEvent("answer_cut", { { "request", m_head.id }, { "why", why }, { "route", m_route->name }, { "version", m_table->version() }, { "latest_version", latestVersion }, { "events", m_eventsPassed }, { "may_have_run_at", m_mayHaveRunAt }, { "most_endpoints", m_route->mostEndpoints }, { "resumable", resumable() ? 1 : 0 }, { "deadline_ms", m_head.deadline.value_or(milliseconds(0)).count() }, { "timeout_ms", m_route->timeout.count() }, { "time_left_ms", timeLeft().count() }, { "endpoint_wait_ms", m_endpointWait.count() }, { "engines_full", m_enginesFull ? 1 : 0 }, { "draining", m_shared.draining ? 1 : 0 }, { "age_ms", age().count() } });
+    logEvent("answer_cut", { { "request", m_head.id }, { "why", why }, { "route", m_route->name }, { "version", m_table->version() }, { "latest_version", latestVersion }, { "events", m_eventsPassed }, { "may_have_run_at", m_mayHaveRunAt }, { "most_endpoints", m_route->maxEndpoints }, { "resumable", resumable() ? 1 : 0 }, { "deadline_ms", m_head.deadline.value_or(milliseconds(0)).count() }, { "timeout_ms", m_route->timeout.count() }, { "time_left_ms", timeLeft().count() }, { "endpoint_wait_ms", m_endpointWait.count() }, { "engines_full", m_enginesFull ? 1 : 0 }, { "draining", m_shared.draining ? 1 : 0 }, { "age_ms", age().count() } });
 }
 
 template <call_dialect Dialect>
--- a/Source/forwarding/forward_call_streams.h
+++ b/Source/forwarding/forward_call_streams.h
@@ -22,7 +22,7 @@
     if (m_generatingSince == time_point {}) {
         m_generatingSince = m_shared.clock.now();
         if (m_prefill)
-            m_figures.firstEvent = std::chrono::duration_cast<milliseconds>(m_generatingSince - m_prefill->at);
+            m_figures.firstEventDelay = std::chrono::duration_cast<milliseconds>(m_generatingSince - m_prefill->at);
     }
     m_eventsHere += count;
     m_eventsPassed += count;
@@ -128,7 +128,7 @@
             co_return attempt_end::MayHaveRun;
         }
     }
-    if (resumable() && m_mayHaveRunAt < m_route->mostEndpoints)
+    if (resumable() && m_mayHaveRunAt < m_route->maxEndpoints)
         watchQuiet(endpoint, quietAllowed(quietStream(endpoint.id)));
     while (true) {
         std::string piece;
@@ -172,7 +172,7 @@
     m_outcome = "answered";
     judge(endpoint.id, endpoint_verdict::Good);
     if (m_head.resumeAfter.empty() && m_service->engine)
-        m_shared.outputs.learn(m_route->name, m_eventsPassed * m_service->engine->tokensPerEvent);
+        m_shared.outputs.record(m_route->name, m_eventsPassed * m_service->engine->tokensPerEvent);
     finishConnection(endpoint.id, answer);
     co_return attempt_end::Answered;
 }
--- a/Source/routing/configuration.h
+++ b/Source/routing/configuration.h
@@ -30,7 +30,7 @@
     /// Whether a stream may go on at another endpoint after the last whole event.
     bool resumable = false;
     /// Whether a key is not needed.
-    bool keyless = false;
+    bool isPublic = false;
     /// The longest time that a caller is kept waiting.
     milliseconds timeout { 0 };
     /// The time within which an answer, or a stream's first event, is as good as it gets.
@@ -39,7 +39,7 @@
     milliseconds gapTarget { 0 };
     unsigned priority = 0;
     /// Endpoints at which one attempt of a caller may run.
-    unsigned mostEndpoints = 1;
+    unsigned maxEndpoints = 1;
     std::vector<weighted_service> services;
 };
 
@@ -56,7 +56,7 @@
 struct service_config {
     std::string name;
     /// Connections that each endpoint takes from all entries together.
-    unsigned mostConnections = 0;
+    unsigned maxConnections = 0;
     std::optional<engine_config> engine;
 };
 
@@ -69,7 +69,7 @@
     std::uint64_t rate = 0;
     std::uint64_t burst = 0;
     /// Whether a call counts by its tokens, and what one that names none counts.
-    bool countsTokens = false;
+    bool limitsTokens = false;
     std::uint64_t plainTokens = 1;
 };
 
--- a/Source/routing/configuration_check.cpp
+++ b/Source/routing/configuration_check.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-result<void> checkConfiguration(const configuration& candidate)
+result<void> validateConfiguration(const configuration& candidate)
 {
     std::set<std::string> services;
     for (const auto& service : candidate.services) {
--- a/Source/routing/configuration_check.h
+++ b/Source/routing/configuration_check.h
@@ -5,6 +5,6 @@
 
 /// Whether the configuration can be put in force. Errors: the first fault found, naming the route, service or
 /// organisation and what to correct. Thread safety: any thread.
-result<void> checkConfiguration(const configuration& candidate);
+result<void> validateConfiguration(const configuration& candidate);
 
 } // namespace pistachiolatch
--- a/Source/routing/route_table.cpp
+++ b/Source/routing/route_table.cpp
@@ -30,13 +30,13 @@
     return nullptr;
 }
 
-const organisation_config* route_table::organisationOf(const std::string& key) const
+const organisation_config* route_table::findOrganisation(const std::string& key) const
 {
     auto found = m_keys.find(key);
     return found == m_keys.end() ? nullptr : &m_source.organisations[found->second];
 }
 
-const service_config* route_table::service(const std::string& name) const
+const service_config* route_table::findService(const std::string& name) const
 {
     auto found = m_services.find(name);
     return found == m_services.end() ? nullptr : &m_source.services[found->second];
--- a/Source/scheduler/main.cpp
+++ b/Source/scheduler/main.cpp
@@ -18,10 +18,10 @@
         settings.pools.breaker = reader.flag("scheduling.breaker", settings.pools.breaker);
         settings.pools.fair = reader.flag("scheduling.fair", settings.pools.fair);
         settings.pools.admission = reader.flag("scheduling.admission", settings.pools.admission);
-        settings.pools.lateYields = reader.flag("scheduling.late_yields", settings.pools.lateYields);
+        settings.pools.deferLate = reader.flag("scheduling.late_yields", settings.pools.deferLate);
         constexpr std::int64_t wholeShare = 100;
-        settings.pools.lateShare = static_cast<std::uint32_t>(reader.integer("scheduling.late_share_percent", settings.pools.lateShare, 0, wholeShare));
-        if (!policyByName(settings.pools.policy))
+        settings.pools.lateSharePercent = static_cast<std::uint32_t>(reader.integer("scheduling.late_share_percent", settings.pools.lateSharePercent, 0, wholeShare));
+        if (!makePolicy(settings.pools.policy))
             reader.reject("scheduling.policy", fmt::format("is \"{}\"; use reserve, round_robin or least_reported", settings.pools.policy));
         return reader.finish();
     }
--- a/Source/scheduler/owned_pools.cpp
+++ b/Source/scheduler/owned_pools.cpp
@@ -30,7 +30,7 @@
     , m_since(loop.now())
 {
     configure(*session.config());
-    m_pool.learnPoison(session.poison());
+    m_pool.replacePoisonMarks(session.poison());
 }
 
 void owned_pool::configure(const config_view& config)
@@ -54,13 +54,13 @@
         request.weight = organisation->weight;
     if (const auto* limit = config->limit(message.place().organisation()))
         request.inFlightShare = limit->inFlightShare;
-    m_pool.place(std::move(request), now);
+    m_pool.submit(std::move(request), now);
 }
 
 void owned_pool::onProgress(const wire::envelope& message, time_point now)
 {
     const auto& report = message.progress();
-    m_pool.progress(report, now);
+    m_pool.handleProgress(report, now);
     if (report.prefill_wasted())
         m_metrics.count("prefill_wasted_" + report.reason());
     wire::envelope acknowledgement;
@@ -70,13 +70,13 @@
 
 void owned_pool::onHeld(const wire::envelope& message, time_point now)
 {
-    m_pool.held(message.held(), message.sender(), message.sender_incarnation(), now);
+    m_pool.restoreReservations(message.held(), message.sender(), message.sender_incarnation(), now);
     m_reported.insert(message.sender());
 }
 
 void owned_pool::onAnnounce(const wire::announce_forward& forward, time_point now)
 {
-    reportCrashes(m_pool.announce(forward.endpoint(), milliseconds(forward.age_ms()), now));
+    reportCrashes(m_pool.handleAnnouncement(forward.endpoint(), milliseconds(forward.age_ms()), now));
 }
 
 bool owned_pool::settled(time_point now) const
@@ -92,11 +92,11 @@
 
 void owned_pool::step(time_point now)
 {
-    reportCrashes(m_pool.expire(now));
+    reportCrashes(m_pool.expireEndpoints(now));
     // Deciding before the entries told what they hold would put new work onto endpoints that are full.
     if (!settled(now))
         return;
-    for (auto& decision : m_pool.decide(now)) {
+    for (auto& decision : m_pool.schedule(now)) {
         wire::envelope envelope;
         decision.placement.set_epoch(m_epoch);
         m_metrics.count(decision.placement.refused().empty() ? "placed" : "place_refused_" + decision.placement.refused());
--- a/Source/scheduler/scheduler_node.cpp
+++ b/Source/scheduler/scheduler_node.cpp
@@ -23,11 +23,11 @@
           { [this](const auto&) { followConfig(); }, [this] { followShards(); },
               [this] {
                   for (auto& [shard, one] : m_pools)
-                      one->decisions().learnPoison(m_session.poison());
+                      one->decisions().replacePoisonMarks(m_session.poison());
               },
               [this] {
                   for (auto& [shard, one] : m_pools)
-                      one->decisions().sweep(m_session.live(), m_clock.now());
+                      one->decisions().removeDeadEntries(m_session.live(), m_clock.now());
               } })
     , m_custodian(std::make_shared<custodian>(given.counters))
 {
@@ -63,9 +63,9 @@
             found->second->onRequest(message, now);
     } else if (message.has_crash()) {
         if (auto* one = poolOf(message.crash().shard())) {
-            one->decisions().crash(message.crash(), now);
+            one->decisions().handleCrashReport(message.crash(), now);
             wire::envelope envelope;
-            envelope.mutable_crash_reply()->set_crashes(one->decisions().crashes(message.crash().fingerprint()));
+            envelope.mutable_crash_reply()->set_crashes(one->decisions().crashCount(message.crash().fingerprint()));
             m_loop.wire().reply(message, envelope);
         }
     } else if (message.has_scheduler_status()) {
--- a/Source/scheduling/crash_suspects.cpp
+++ b/Source/scheduling/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/crash_suspects.h"
+#include "scheduling/crash_tracker.h"
 
 #include "membership/membership.h"
 
@@ -17,7 +17,7 @@
     }
 }
 
-void crash_suspects::suspect(const wire::crash_report& report, time_point now)
+void crash_tracker::recordCrash(const wire::crash_report& report, time_point now)
 {
     bool known = std::any_of(m_suspicions.begin(), m_suspicions.end(), [&](const auto& one) { return attemptOf(one.report) == attemptOf(report); });
     if (known)
@@ -27,14 +27,14 @@
         m_suspicions.erase(m_suspicions.begin());
 }
 
-void crash_suspects::learn(const std::vector<wire::poison_mark>& marks)
+void crash_tracker::replaceMarks(const std::vector<wire::poison_mark>& marks)
 {
     m_marked.clear();
     for (const auto& mark : marks)
         m_marked[mark.fingerprint()].assign(mark.attempts().begin(), mark.attempts().end());
 }
 
-std::vector<wire::crash_report> crash_suspects::onAnnounced(const std::string& endpoint, std::uint64_t incarnation, time_point now)
+std::vector<wire::crash_report> crash_tracker::onAnnounced(const std::string& endpoint, std::uint64_t incarnation, time_point now)
 {
     std::vector<wire::crash_report> certain;
     std::erase_if(m_suspicions, [&](const suspicion& one) {
@@ -49,7 +49,7 @@
     return certain;
 }
 
-std::vector<wire::crash_report> crash_suspects::onSilent(const std::string& endpoint)
+std::vector<wire::crash_report> crash_tracker::onSilent(const std::string& endpoint)
 {
     std::vector<wire::crash_report> certain;
     for (auto& one : m_suspicions) {
@@ -61,17 +61,17 @@
     return certain;
 }
 
-void crash_suspects::onFarewell(const std::string& endpoint)
+void crash_tracker::onShutdown(const std::string& endpoint)
 {
     std::erase_if(m_suspicions, [&](const suspicion& one) { return !one.certain && one.report.endpoint() == endpoint; });
 }
 
-void crash_suspects::expire(milliseconds lifetime, time_point now)
+void crash_tracker::expire(milliseconds lifetime, time_point now)
 {
     std::erase_if(m_suspicions, [&](const suspicion& one) { return now - one.at > lifetime; });
 }
 
-std::uint32_t crash_suspects::crashes(std::uint64_t fingerprint) const
+std::uint32_t crash_tracker::crashCount(std::uint64_t fingerprint) const
 {
     std::set<std::string> attempts;
     auto marked = m_marked.find(fingerprint);
@@ -84,7 +84,7 @@
     return static_cast<std::uint32_t>(attempts.size());
 }
 
-std::map<std::string, time_point> crash_suspects::suspectedEndpoints() const
+std::map<std::string, time_point> crash_tracker::suspectedEndpoints() const
 {
     std::map<std::string, time_point> endpoints;
     for (const auto& one : m_suspicions) {
@@ -94,7 +94,7 @@
     return endpoints;
 }
 
-std::map<std::uint64_t, crash_count> crash_suspects::countsByFingerprint() const
+std::map<std::uint64_t, crash_count> crash_tracker::countsByFingerprint() const
 {
     std::map<std::uint64_t, crash_count> counts;
     std::set<std::tuple<std::uint64_t, std::string, std::uint64_t>> counted;
--- a/Source/scheduling/engine_planner.cpp
+++ b/Source/scheduling/engine_planner.cpp
@@ -1,6 +1,6 @@
 #include "scheduling/engine_planner.h"
 
-#include "scheduling/output_forecast.h"
+#include "scheduling/output_estimator.h"
 #include <algorithm>
 #include <cmath>
 
@@ -34,7 +34,7 @@
     }
 }
 
-void engine_planner::takeEndpoint(const wire::endpoint_row& row)
+void engine_planner::updateEndpoint(const wire::endpoint_row& row)
 {
     const auto& report = row.report();
     if (report.state() == wire::ENDPOINT_GONE) {
@@ -52,14 +52,14 @@
         one.changesTo = wire::STAGE_ANY;
 }
 
-bool engine_planner::serves(const engine& one, const engine_ask& ask, wire::endpoint_stage stage)
+bool engine_planner::serves(const engine& one, const placement_request& ask, wire::endpoint_stage stage)
 {
     const auto& report = one.row.report();
     return report.service() == ask.service && report.stage() == stage && report.state() == wire::ENDPOINT_SERVING && !one.row.silent()
         && !ask.exclude.count(report.id());
 }
 
-std::vector<engine_planner::engine*> engine_planner::candidates(const engine_ask& ask, wire::endpoint_stage stage, time_point now)
+std::vector<engine_planner::engine*> engine_planner::candidates(const placement_request& ask, wire::endpoint_stage stage, time_point now)
 {
     std::vector<engine*> sound;
     std::vector<engine*> failing;
@@ -79,15 +79,15 @@
     return sound.empty() ? doubtful : sound;
 }
 
-const engine_figures& engine_planner::figuresAt(const std::string& endpoint) const
+const engine_speed_model& engine_planner::figuresAt(const std::string& endpoint) const
 {
-    static const engine_figures unknown;
+    static const engine_speed_model unknown;
     auto engine = m_engines.find(endpoint);
     auto known = engine == m_engines.end() ? m_figures.end() : m_figures.find(engine->second.row.report().service());
     return known == m_figures.end() ? unknown : known->second;
 }
 
-duration engine_planner::timeToFirstEvent(const engine_ask& ask)
+duration engine_planner::timeToFirstEvent(const placement_request& ask)
 {
     return m_figures[ask.service].timeToFirstEvent(ask.promptTokens);
 }
@@ -107,7 +107,7 @@
     return ends;
 }
 
-memory_user engine_planner::userOf(const placed_call& call, time_point now) const
+call_memory engine_planner::userOf(const placed_call& call, time_point now) const
 {
     auto grown = call.generated + static_cast<std::uint64_t>(std::max(0.0, inMs(now - call.at) * figuresAt(call.endpoint).generatedTokensPerMs()));
     return { call.prompt + grown, static_cast<std::uint64_t>(expectedRest(call.output, grown)) };
@@ -130,7 +130,7 @@
     return found == users.end() ? 0 : peakMemory(found->second);
 }
 
-engine_planner::engine* engine_planner::pickDecode(const engine_ask& ask, time_point now)
+engine_planner::engine* engine_planner::pickDecode(const placement_request& ask, time_point now)
 {
     auto users = usersNow(now);
     engine* best = nullptr;
@@ -156,7 +156,7 @@
     return best;
 }
 
-engine_planner::engine* engine_planner::pickPrefill(const engine_ask& ask, const std::string& nearTo, time_point now)
+engine_planner::engine* engine_planner::pickPrefill(const placement_request& ask, const std::string& nearTo, time_point now)
 {
     engine* best = nullptr;
     time_point bestAt {};
@@ -172,7 +172,7 @@
     return best && bestAt - now <= longestPromptQueue ? best : nullptr;
 }
 
-bool engine_planner::mayReadItself(const engine& decode, const engine_ask& ask, time_point now)
+bool engine_planner::mayReadItself(const engine& decode, const placement_request& ask, time_point now)
 {
     if (candidates(ask, wire::STAGE_PREFILL, now).empty())
         return true;
@@ -183,15 +183,15 @@
     return pending + m_figures[ask.service].readingTime(ask.promptTokens) * decodeReadsSlower <= longestDecodeRead;
 }
 
-engine_plan engine_planner::place(const std::string& entry, const engine_ask& ask, time_point now)
+engine_placement engine_planner::place(const std::string& entry, const placement_request& ask, time_point now)
 {
     auto* decode = pickDecode(ask, now);
     if (!decode)
         return { .full = true, .decode = {}, .prefill = {} };
     auto* prefill = pickPrefill(ask, decode->row.report().data_centre(), now);
     if (!prefill && !mayReadItself(*decode, ask, now))
-        return { .full = true, .decode = {}, .prefill = {}, .readersBusy = true };
-    engine_plan plan { .decode = decode->row.report().id(), .prefill = prefill ? prefill->row.report().id() : std::string() };
+        return { .full = true, .decode = {}, .prefill = {}, .prefillBusy = true };
+    engine_placement plan { .decode = decode->row.report().id(), .prefill = prefill ? prefill->row.report().id() : std::string() };
     m_calls[entry][ask.callId] = { plan.decode, ask.promptTokens, ask.outputTokens, 0, now, now };
     learnCosts(ask);
     m_breaker.onSent(plan.decode, now);
@@ -201,7 +201,7 @@
     return plan;
 }
 
-void engine_planner::takeCalls(const std::string& entry, const std::vector<wire::running_call>& calls, time_point now)
+void engine_planner::replaceCalls(const std::string& entry, const std::vector<wire::running_call>& calls, time_point now)
 {
     auto& known = m_calls[entry];
     std::map<std::uint64_t, placed_call> fresh;
@@ -219,7 +219,7 @@
     known = std::move(fresh);
 }
 
-void engine_planner::release(const std::string& entry, std::uint64_t callId, const call_figures& figures)
+void engine_planner::release(const std::string& entry, std::uint64_t callId, const call_measurements& figures)
 {
     auto& calls = m_calls[entry];
     auto ended = calls.find(callId);
@@ -228,16 +228,16 @@
     auto engine = m_engines.find(ended->second.endpoint);
     if (engine != m_engines.end()) {
         auto& known = m_figures[engine->second.row.report().service()];
-        known.learnReading(figures.readTokens, figures.reading);
-        known.learnGeneration(figures.generated, figures.generating);
-        if (figures.firstEvent > milliseconds(0))
-            known.learnFirstEvent(figures.firstEvent);
+        known.learnReading(figures.prefillTokens, figures.prefillTime);
+        known.learnGeneration(figures.generatedTokens, figures.generationTime);
+        if (figures.firstEventDelay > milliseconds(0))
+            known.learnFirstEvent(figures.firstEventDelay);
     }
     m_breaker.onUndecided(ended->second.endpoint);
     calls.erase(ended);
 }
 
-void engine_planner::learnCosts(const engine_ask& ask)
+void engine_planner::learnCosts(const placement_request& ask)
 {
     const auto& figures = m_figures[ask.service];
     if (!figures.known() || ask.memoryTokens == 0)
@@ -249,10 +249,10 @@
     m_balances[ask.service].learn({ inMs(figures.readingTime(ask.promptTokens)), held * heldMs / static_cast<double>(ask.memoryTokens) });
 }
 
-std::vector<balanced_engine> engine_planner::balancedEngines(const std::string& service, time_point now) const
+std::vector<engine_stage_load> engine_planner::balancedEngines(const std::string& service, time_point now) const
 {
     auto users = usersNow(now);
-    std::vector<balanced_engine> engines;
+    std::vector<engine_stage_load> engines;
     for (const auto& [id, one] : m_engines) {
         const auto& report = one.row.report();
         bool counts = report.service() == service && report.stage() != wire::STAGE_ANY && report.state() == wire::ENDPOINT_SERVING && !one.row.silent();
@@ -267,7 +267,7 @@
     return engines;
 }
 
-std::optional<stage_change> engine_planner::stageToChange(time_point now)
+std::optional<stage_change> engine_planner::chooseStageChange(time_point now)
 {
     for (auto& [service, balance] : m_balances) {
         if (auto change = balance.decide(balancedEngines(service, now), now))
@@ -276,7 +276,7 @@
     return std::nullopt;
 }
 
-void engine_planner::beginChange(const stage_change& change, time_point until)
+void engine_planner::startStageChange(const stage_change& change, time_point until)
 {
     auto found = m_engines.find(change.engine);
     if (found == m_engines.end())
@@ -285,7 +285,7 @@
     found->second.changesUntil = until;
 }
 
-void engine_planner::endChange(const std::string& engine, time_point now)
+void engine_planner::cancelStageChange(const std::string& engine, time_point now)
 {
     /// An engine that can't be ordered now may be with the next heartbeat or so.
     constexpr milliseconds pauseAfterFailure { 3000 };
@@ -296,7 +296,7 @@
     m_balances[found->second.row.report().service()].pause(now + pauseAfterFailure);
 }
 
-const wire::endpoint_report* engine_planner::reportOf(const std::string& engine) const
+const wire::endpoint_report* engine_planner::findReport(const std::string& engine) const
 {
     auto found = m_engines.find(engine);
     return found == m_engines.end() ? nullptr : &found->second.row.report();
@@ -306,10 +306,10 @@
 {
     auto found = m_engines.find(call.endpoint);
     if (call.generated > 0 && found != m_engines.end() && call.placedAt > found->second.failedAt)
-        noteSuccess(call.endpoint);
+        recordSuccess(call.endpoint);
 }
 
-void engine_planner::noteSuccess(const std::string& endpoint)
+void engine_planner::recordSuccess(const std::string& endpoint)
 {
     m_breaker.onSuccess(endpoint);
     auto found = m_engines.find(endpoint);
@@ -317,7 +317,7 @@
         found->second.refusals = 0;
 }
 
-void engine_planner::noteRefusal(const std::string& endpoint, time_point now)
+void engine_planner::recordRefusal(const std::string& endpoint, time_point now)
 {
     auto found = m_engines.find(endpoint);
     if (found == m_engines.end() || now < found->second.fullUntil)
@@ -326,7 +326,7 @@
     found->second.fullUntil = now + firstRefusalPause * (1 << doublings);
 }
 
-void engine_planner::noteFailure(const std::string& endpoint, time_point now)
+void engine_planner::recordFailure(const std::string& endpoint, time_point now)
 {
     auto found = m_engines.find(endpoint);
     if (found == m_engines.end() || (found->second.failedAt != time_point {} && now - found->second.failedAt < oneMoment))
@@ -335,7 +335,7 @@
     m_breaker.onFailure(endpoint, now);
 }
 
-void engine_planner::forgetEntry(const std::string& entry)
+void engine_planner::removeEntry(const std::string& entry)
 {
     m_calls.erase(entry);
 }
--- a/Source/scheduling/engine_figures.cpp
+++ b/Source/scheduling/engine_speed_model.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/engine_figures.h"
+#include "scheduling/engine_speed_model.h"
 
 #include <algorithm>
 
@@ -30,7 +30,7 @@
     }
 }
 
-void engine_figures::learnReading(std::uint64_t tokens, milliseconds took)
+void engine_speed_model::learnReading(std::uint64_t tokens, milliseconds took)
 {
     if (tokens == 0 || took.count() <= 0)
         return;
@@ -58,7 +58,7 @@
     m_readMsForAny = meanMs - m_readMsPerToken * meanTokens;
 }
 
-void engine_figures::learnGeneration(std::uint64_t tokens, milliseconds took)
+void engine_speed_model::learnGeneration(std::uint64_t tokens, milliseconds took)
 {
     if (took < leastGenerating || tokens == 0)
         return;
@@ -66,23 +66,23 @@
     m_generatedTokensPerMs += weightOf(m_generationCount) * (speed - m_generatedTokensPerMs);
 }
 
-void engine_figures::learnFirstEvent(milliseconds afterReading)
+void engine_speed_model::learnFirstEvent(milliseconds afterReading)
 {
     m_firstEventMs += weightOf(m_firstEventCount) * (static_cast<double>(afterReading.count()) - m_firstEventMs);
 }
 
-bool engine_figures::known() const
+bool engine_speed_model::known() const
 {
     constexpr unsigned leastGenerations = 5;
     return m_readingCount >= leastReadings && m_generationCount >= leastGenerations;
 }
 
-duration engine_figures::readingTime(std::uint64_t tokens) const
+duration engine_speed_model::readingTime(std::uint64_t tokens) const
 {
     return fromMs(m_readMsPerToken * static_cast<double>(tokens));
 }
 
-duration engine_figures::timeToFirstEvent(std::uint64_t tokens) const
+duration engine_speed_model::timeToFirstEvent(std::uint64_t tokens) const
 {
     return readingTime(tokens) + fromMs(m_readMsForAny + m_firstEventMs);
 }
--- a/Source/scheduling/engine_figures.h
+++ b/Source/scheduling/engine_speed_model.h
@@ -7,7 +7,7 @@
 /// How fast the engines of a service are, learnt from calls that ended. Engines of one deployment read and generate ten
 /// times as fast as those of another; figures of either made the other's engines look empty or full.
 /// Pure; not thread-safe.
-class engine_figures {
+class engine_speed_model {
 public:
     /// Takes in how long the answer to a question to read a prompt took. A part of that grows with the prompt and keeps the
     /// engine busy; the rest passes for every prompt, while others are read.
--- a/Source/scheduling/fair_queue.cpp
+++ b/Source/scheduling/fair_queue.cpp
@@ -124,7 +124,7 @@
     }
     m_virtualTime = std::max(m_virtualTime, one.virtualTime);
     one.virtualTime += cost(request);
-    m_lateCredit = std::min(mostLateCredit, m_lateCredit + tokensOf(request) * m_rules.lateShare / wholeShare);
+    m_lateCredit = std::min(mostLateCredit, m_lateCredit + tokensOf(request) * m_rules.lateSharePercent / wholeShare);
 }
 
 pool_request fair_queue::take(const std::string& requestId, std::uint32_t attempt)
--- a/Source/scheduling/fair_queue.h
+++ b/Source/scheduling/fair_queue.h
@@ -12,7 +12,7 @@
     /// Weighted fair queueing between organisations; off means first come, first served.
     bool fair = true;
     /// Percent of the work that goes to late requests while others can still be on time.
-    std::uint32_t lateShare = 10;
+    std::uint32_t lateSharePercent = 10;
 };
 
 /// Waiting requests, served by weighted fair queueing between organisations: each request gets a virtual finish
--- a/Source/scheduling/memory_projection.cpp
+++ b/Source/scheduling/memory_projection.cpp
@@ -4,10 +4,10 @@
 
 namespace pistachiolatch {
 
-std::uint64_t peakMemory(std::vector<memory_user> users)
+std::uint64_t peakMemory(std::vector<call_memory> users)
 {
     // Memory only falls when a call ends, so it is highest just before one does.
-    std::sort(users.begin(), users.end(), [](const memory_user& left, const memory_user& right) { return left.remaining < right.remaining; });
+    std::sort(users.begin(), users.end(), [](const call_memory& left, const call_memory& right) { return left.remaining < right.remaining; });
     std::uint64_t held = 0;
     for (const auto& user : users)
         held += user.held;
--- a/Source/scheduling/output_forecast.cpp
+++ b/Source/scheduling/output_estimator.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/output_forecast.h"
+#include "scheduling/output_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +21,7 @@
     }
 }
 
-std::uint64_t output_forecast::expect(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const
+std::uint64_t output_estimator::estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const
 {
     if (allowed == 0)
         return 0;
@@ -36,7 +36,7 @@
     return std::min(allowed, static_cast<std::uint64_t>(std::exp(usual)));
 }
 
-void output_forecast::learn(const std::string& route, std::uint64_t generated)
+void output_estimator::record(const std::string& route, std::uint64_t generated)
 {
     if (generated == 0)
         return;
--- a/Source/scheduling/output_forecast.h
+++ b/Source/scheduling/output_estimator.h
@@ -16,12 +16,12 @@
 /// prompt again while all its other streams stand still. A guess is right in the middle and often far off, and so is the
 /// usual length; together they err less.
 /// Pure; not thread-safe.
-class output_forecast {
+class output_estimator {
 public:
     /// The median of the tokens that an answer will have. Units: tokens. The result is at most what is allowed.
-    std::uint64_t expect(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const;
+    std::uint64_t estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const;
     /// Takes in an answer that ended whole.
-    void learn(const std::string& route, std::uint64_t generated);
+    void record(const std::string& route, std::uint64_t generated);
 
 private:
     struct usual_length {
--- a/Source/scheduling/placement_policies.cpp
+++ b/Source/scheduling/placement_policies.cpp
@@ -122,7 +122,7 @@
     return chosen;
 }
 
-std::optional<any_policy> policyByName(const std::string& name)
+std::optional<policy_variant> makePolicy(const std::string& name)
 {
     if (name == "reserve")
         return reserve_policy();
--- a/Source/scheduling/placement_policies.h
+++ b/Source/scheduling/placement_policies.h
@@ -46,9 +46,9 @@
 
 static_assert(placement_policy<reserve_policy> && placement_policy<round_robin_policy> && placement_policy<least_reported_policy>);
 
-using any_policy = std::variant<reserve_policy, round_robin_policy, least_reported_policy>;
+using policy_variant = std::variant<reserve_policy, round_robin_policy, least_reported_policy>;
 
 /// The policy with that name, or nothing.
-std::optional<any_policy> policyByName(const std::string& name);
+std::optional<policy_variant> makePolicy(const std::string& name);
 
 } // namespace pistachiolatch
--- a/Source/scheduling/plan_queue.cpp
+++ b/Source/scheduling/placement_queue.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/plan_queue.h"
+#include "scheduling/placement_queue.h"
 
 #include <algorithm>
 
@@ -15,44 +15,44 @@
     constexpr double endsForEach = 2;
 }
 
-std::vector<plan_verdict> plan_queue::step(engine_planner& planner, time_point now)
+std::vector<placement_result> placement_queue::step(engine_planner& planner, time_point now)
 {
-    std::vector<plan_verdict> verdicts;
+    std::vector<placement_result> results;
     // A stream that has begun is broken off if it finds no place soon; calls that have not begun can come back.
-    std::stable_partition(m_waiting.begin(), m_waiting.end(), [](const auto& one) { return one.begun; });
+    std::stable_partition(m_waiting.begin(), m_waiting.end(), [](const auto& one) { return one.streamStarted; });
     // Calls that wait, by service. Those behind the first one that waits must not overtake it, or a large prompt would wait
     // for ever behind small ones.
     std::map<std::string, std::size_t> before;
     std::erase_if(m_waiting, [&](const auto& one) {
-        auto& ahead = before[one.ask.service];
-        auto plan = ahead > 0 ? engine_plan { .full = true, .decode = {}, .prefill = {} } : planner.place(one.entry, one.ask, now);
-        if (plan.full && hasHope(one, plan.readersBusy, ahead, planner, now)) {
+        auto& ahead = before[one.request.service];
+        auto plan = ahead > 0 ? engine_placement { .full = true, .decode = {}, .prefill = {} } : planner.place(one.entry, one.request, now);
+        if (plan.full && hasHope(one, plan.prefillBusy, ahead, planner, now)) {
             ++ahead;
             return false;
         }
-        auto retryAfter = plan.full ? comeBack(one.ask.service, planner, now) : milliseconds(0);
-        verdicts.push_back({ one.ticket, std::move(plan), retryAfter });
+        auto retryAfter = plan.full ? comeBack(one.request.service, planner, now) : milliseconds(0);
+        results.push_back({ one.ticket, std::move(plan), retryAfter });
         return true;
     });
-    return verdicts;
+    return results;
 }
 
-bool plan_queue::hasHope(const plan_question& question, bool readersBusy, std::size_t before, engine_planner& planner, time_point now) const
+bool placement_queue::hasHope(const queued_request& question, bool prefillBusy, std::size_t before, engine_planner& planner, time_point now) const
 {
-    if (now >= question.giveUpAt)
+    if (now >= question.waitDeadline)
         return false;
-    if (question.begun)
+    if (question.streamStarted)
         return true;
-    auto startBy = std::min(question.giveUpAt, question.targetAt - planner.timeToFirstEvent(question.ask));
+    auto startBy = std::min(question.waitDeadline, question.firstEventDeadline - planner.timeToFirstEvent(question.request));
     if (now >= startBy)
         return false;
     // Prompts are read within tenths of a second; what comes of the queue before a reader shows then.
-    if (readersBusy)
+    if (prefillBusy)
         return true;
-    return planner.expectedEnds(question.ask.service, startBy - now, now) >= endsForEach * static_cast<double>(before + 1);
+    return planner.expectedEnds(question.request.service, startBy - now, now) >= endsForEach * static_cast<double>(before + 1);
 }
 
-milliseconds plan_queue::comeBack(const std::string& service, const engine_planner& planner, time_point now)
+milliseconds placement_queue::comeBack(const std::string& service, const engine_planner& planner, time_point now)
 {
     constexpr std::chrono::seconds second { 1 };
     auto endsASecond = std::max(1.0, planner.expectedEnds(service, second, now));
@@ -62,12 +62,12 @@
     return std::chrono::duration_cast<milliseconds>(last - now);
 }
 
-void plan_queue::forget(const std::string& entry)
+void placement_queue::removeEntry(const std::string& entry)
 {
     std::erase_if(m_waiting, [&](const auto& one) { return one.entry == entry; });
 }
 
-void plan_queue::clear()
+void placement_queue::clear()
 {
     m_waiting.clear();
     m_lastReturn.clear();
--- a/Source/scheduling/plan_queue.h
+++ b/Source/scheduling/placement_queue.h
@@ -5,23 +5,23 @@
 namespace pistachiolatch {
 
 /// A model call that asks for places.
-struct plan_question {
+struct queued_request {
     /// Names the question towards the one who asked.
     std::uint64_t ticket = 0;
     std::string entry;
-    engine_ask ask;
+    placement_request request;
     /// Until when the one who asked waits.
-    time_point giveUpAt;
+    time_point waitDeadline;
     /// Until when a first event is as good as it gets.
-    time_point targetAt;
+    time_point firstEventDeadline;
     /// Whether the caller has a part of the answer already.
-    bool begun = false;
+    bool streamStarted = false;
 };
 
 /// What became of a question.
-struct plan_verdict {
+struct placement_result {
     std::uint64_t ticket = 0;
-    engine_plan plan;
+    engine_placement placement;
     /// When the caller should come back; meant only where the engines are full.
     milliseconds retryAfter { 0 };
 };
@@ -32,20 +32,20 @@
 /// the calls before it alone use up all that will be free by then. Those refused are told to come back one after the other,
 /// at the pace at which engines end calls: all told the same, they make the next burst.
 /// Pure; not thread-safe.
-class plan_queue {
+class placement_queue {
 public:
-    void add(plan_question question) { m_waiting.push_back(std::move(question)); }
+    void add(queued_request question) { m_waiting.push_back(std::move(question)); }
     /// Places what can be placed and refuses what has no hope.
-    std::vector<plan_verdict> step(engine_planner& planner, time_point now);
-    void forget(const std::string& entry);
+    std::vector<placement_result> step(engine_planner& planner, time_point now);
+    void removeEntry(const std::string& entry);
     void clear();
     bool empty() const { return m_waiting.empty(); }
 
 private:
-    bool hasHope(const plan_question& question, bool readersBusy, std::size_t before, engine_planner& planner, time_point now) const;
+    bool hasHope(const queued_request& question, bool prefillBusy, std::size_t before, engine_planner& planner, time_point now) const;
     milliseconds comeBack(const std::string& service, const engine_planner& planner, time_point now);
 
-    std::deque<plan_question> m_waiting;
+    std::deque<queued_request> m_waiting;
     /// When the caller who was refused last is to come back, by service.
     std::map<std::string, time_point> m_lastReturn;
 };
--- a/Source/scheduling/poison_list.cpp
+++ b/Source/scheduling/poison_list.cpp
@@ -1,13 +1,13 @@
 #include "scheduling/poison_list.h"
 
-#include "scheduling/crash_suspects.h"
+#include "scheduling/crash_tracker.h"
 
 namespace pistachiolatch {
 
 poison_list::poison_list(const std::vector<wire::poison_mark>& marks)
 {
     for (const auto& mark : marks) {
-        if (static_cast<std::uint32_t>(mark.attempts_size()) >= crash_suspects::crashesToBlock)
+        if (static_cast<std::uint32_t>(mark.attempts_size()) >= crash_tracker::crashesToBlock)
             m_fingerprints.insert(mark.fingerprint());
     }
 }
--- a/Source/scheduling/poison_list.h
+++ b/Source/scheduling/poison_list.h
@@ -6,7 +6,7 @@
 
 namespace pistachiolatch {
 
-/// Fingerprints of requests with at least crash_suspects::crashesToBlock recorded crashes. Immutable, so it can be
+/// Fingerprints of requests with at least crash_tracker::crashesToBlock recorded crashes. Immutable, so it can be
 /// shared between threads.
 class poison_list {
 public:
--- a/Source/scheduling/pool.cpp
+++ b/Source/scheduling/pool.cpp
@@ -7,13 +7,13 @@
     , m_kind(kind)
     , m_settings(std::move(settings))
     , m_targets(targets)
-    , m_policy(policyByName(m_settings.policy).value_or(reserve_policy()))
+    , m_policy(makePolicy(m_settings.policy).value_or(reserve_policy()))
     , m_endpoints(kind)
-    , m_queue({ m_settings.fair, m_settings.lateShare })
+    , m_queue({ m_settings.fair, m_settings.lateSharePercent })
 {
 }
 
-std::vector<wire::crash_report> pool::announce(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
+std::vector<wire::crash_report> pool::handleAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
 {
     auto effect = m_endpoints.table().announce(announcement, age, now);
     if (effect == announcement_effect::Stale)
@@ -23,7 +23,7 @@
     return m_suspects.onAnnounced(announcement.id(), announcement.incarnation(), now);
 }
 
-void pool::progress(const wire::progress& report, time_point now)
+void pool::handleProgress(const wire::progress& report, time_point now)
 {
     if (report.stage() == wire::STAGE_WITHDRAWN)
         m_queue.remove(report.request_id());
@@ -44,7 +44,7 @@
         m_endpoints.table().suspend(report.endpoint(), now);
 }
 
-void pool::held(const wire::held_report& report, const std::string& entryName, std::uint64_t entryIncarnation, time_point now)
+void pool::restoreReservations(const wire::held_report& report, const std::string& entryName, std::uint64_t entryIncarnation, time_point now)
 {
     for (const auto& one : report.held()) {
         reservation booked;
@@ -69,15 +69,15 @@
     }
 }
 
-void pool::crash(const wire::crash_report& report, time_point now)
+void pool::handleCrashReport(const wire::crash_report& report, time_point now)
 {
-    m_suspects.suspect(report, now);
+    m_suspects.recordCrash(report, now);
     const auto* endpoint = m_endpoints.table().find(report.endpoint());
     if (endpoint && endpoint->incarnation() == report.endpoint_incarnation())
         m_endpoints.table().suspend(report.endpoint(), now);
 }
 
-void pool::sweep(const std::vector<wire::live_process>& live, time_point now)
+void pool::removeDeadEntries(const std::vector<wire::live_process>& live, time_point now)
 {
     m_endpoints.sweep(live, now);
     m_queue.removeIf([&](const pool_request& request) {
@@ -89,7 +89,7 @@
     });
 }
 
-std::vector<wire::crash_report> pool::expire(time_point now)
+std::vector<wire::crash_report> pool::expireEndpoints(time_point now)
 {
     std::vector<wire::crash_report> certain;
     for (const auto& id : m_endpoints.table().expire(now)) {
@@ -100,7 +100,7 @@
     return certain;
 }
 
-std::vector<pool_decision> pool::decide(time_point now)
+std::vector<pool_decision> pool::schedule(time_point now)
 {
     dropLate(now);
     bool placed = true;
--- a/Source/scheduling/pool.h
+++ b/Source/scheduling/pool.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "scheduling/crash_suspects.h"
+#include "scheduling/crash_tracker.h"
 #include "scheduling/fair_queue.h"
 #include "scheduling/placement_policies.h"
 #include "scheduling/pool_endpoints.h"
@@ -19,23 +19,23 @@
 
     void setTargets(pool_targets targets) { m_targets = targets; }
     /// Takes an endpoint's announcement. Returns crash reports that became certain by it.
-    std::vector<wire::crash_report> announce(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
+    std::vector<wire::crash_report> handleAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
     /// Takes a request that wants endpoints. Precondition: entry, weight and share are filled in.
-    void place(pool_request request, time_point now);
+    void submit(pool_request request, time_point now);
     /// Takes a stage that a request reached.
-    void progress(const wire::progress& report, time_point now);
+    void handleProgress(const wire::progress& report, time_point now);
     /// Takes what an entry holds, after this process took the pool over.
-    void held(const wire::held_report& report, const std::string& entryName, std::uint64_t entryIncarnation, time_point now);
+    void restoreReservations(const wire::held_report& report, const std::string& entryName, std::uint64_t entryIncarnation, time_point now);
     /// Takes the report that an endpoint broke off while it ran a request.
-    void crash(const wire::crash_report& report, time_point now);
-    std::uint32_t crashes(std::uint64_t fingerprint) const { return m_suspects.crashes(fingerprint); }
-    void learnPoison(const std::vector<wire::poison_mark>& marks) { m_suspects.learn(marks); }
+    void handleCrashReport(const wire::crash_report& report, time_point now);
+    std::uint32_t crashCount(std::uint64_t fingerprint) const { return m_suspects.crashCount(fingerprint); }
+    void replacePoisonMarks(const std::vector<wire::poison_mark>& marks) { m_suspects.replaceMarks(marks); }
     /// Forgets what entries that are not live held or asked for.
-    void sweep(const std::vector<wire::live_process>& live, time_point now);
+    void removeDeadEntries(const std::vector<wire::live_process>& live, time_point now);
     /// Endpoints that fell silent since the last call become unusable; returns crash reports that became certain.
-    std::vector<wire::crash_report> expire(time_point now);
+    std::vector<wire::crash_report> expireEndpoints(time_point now);
     /// The decisions that are due now.
-    std::vector<pool_decision> decide(time_point now);
+    std::vector<pool_decision> schedule(time_point now);
 
     const pool_endpoints& endpoints() const { return m_endpoints; }
     const std::string& shard() const { return m_shard; }
@@ -59,11 +59,11 @@
     pool_kind m_kind;
     pool_settings m_settings;
     pool_targets m_targets;
-    any_policy m_policy;
+    policy_variant m_policy;
     pool_endpoints m_endpoints;
     fair_queue m_queue;
     retry_budget m_budget;
-    crash_suspects m_suspects;
+    crash_tracker m_suspects;
     std::vector<pool_decision> m_decisions;
     std::uint64_t m_wastedPrefills = 0;
 };
--- a/Source/scheduling/pool_queue.cpp
+++ b/Source/scheduling/pool_queue.cpp
@@ -17,7 +17,7 @@
     }
 }
 
-void pool::place(pool_request request, time_point now)
+void pool::submit(pool_request request, time_point now)
 {
     request.arrived = now;
     request.deadline = now + milliseconds(request.place.patience_ms());
@@ -57,7 +57,7 @@
 
 bool pool::refusedAtOnce(const pool_request& request, time_point now)
 {
-    if (m_suspects.crashes(request.place.fingerprint()) >= crash_suspects::crashesToBlock) {
+    if (m_suspects.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
         refuse(request, reason::PoisonRequest, poisonRetry);
         return true;
     }
@@ -97,7 +97,7 @@
 bool pool::mustWait(const pool_request& request) const
 {
     // After one crash, copies of the request run one at a time, so that a second crash is seen before a third endpoint is risked.
-    if (m_suspects.crashes(request.place.fingerprint()) > 0 && m_endpoints.runsFingerprint(request.place.fingerprint()))
+    if (m_suspects.crashCount(request.place.fingerprint()) > 0 && m_endpoints.runsFingerprint(request.place.fingerprint()))
         return true;
     if (m_kind == pool_kind::Service || m_queue.organisations() < 2 || request.inFlightShare >= 100)
         return false;
@@ -107,14 +107,14 @@
 
 bool pool::willBeLate(const pool_request& request, const chosen_endpoints& chosen) const
 {
-    if (!m_settings.lateYields || m_kind == pool_kind::Service || request.late || request.place.attempt() > 0 || chosen.ready == time_point())
+    if (!m_settings.deferLate || m_kind == pool_kind::Service || request.late || request.place.attempt() > 0 || chosen.ready == time_point())
         return false;
     return chosen.ready + m_targets.perToken > request.arrived + m_targets.firstToken;
 }
 
 bool pool::tryPlace(const pool_request& request, time_point now)
 {
-    if (m_suspects.crashes(request.place.fingerprint()) >= crash_suspects::crashesToBlock) {
+    if (m_suspects.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
         refuse(request, reason::PoisonRequest, poisonRetry);
         m_queue.take(request.place.request_id(), request.place.attempt());
         return true;
--- a/Source/scheduling/pool_types.h
+++ b/Source/scheduling/pool_types.h
@@ -25,9 +25,9 @@
     /// Refuse at once what cannot start within its patience.
     bool admission = true;
     /// Let requests that can't meet their first-token target yield to those that can.
-    bool lateYields = true;
+    bool deferLate = true;
     /// Percent of the work that late requests get all the same.
-    std::uint32_t lateShare = 10;
+    std::uint32_t lateSharePercent = 10;
 };
 
 /// The targets of a pool's model.
--- a/Source/scheduling/scheduling.h
+++ b/Source/scheduling/scheduling.h
@@ -2,7 +2,7 @@
 /// Which endpoint runs what, and when: pools, reservations, queues, policies.
 /// This is the library's one public header.
 #include "scheduling/engine_planner.h"
-#include "scheduling/output_forecast.h"
-#include "scheduling/plan_queue.h"
+#include "scheduling/output_estimator.h"
+#include "scheduling/placement_queue.h"
 #include "scheduling/poison_list.h"
 #include "scheduling/pool.h"
--- a/Source/scheduling/stage_balance.cpp
+++ b/Source/scheduling/stage_balancer.cpp
@@ -1,4 +1,4 @@
-#include "scheduling/stage_balance.h"
+#include "scheduling/stage_balancer.h"
 
 #include <algorithm>
 
@@ -17,12 +17,12 @@
     constexpr double newestWeight = 0.01;
 }
 
-double callsThatFit(unsigned engines, unsigned readers, const call_costs& costs)
+double callsThatFit(unsigned engines, unsigned readers, const call_cost& costs)
 {
     return std::min(readersFull * readers / costs.readingMs, memoryFull * (engines - readers) / costs.decodingMs);
 }
 
-unsigned bestReaders(unsigned engines, const call_costs& costs)
+unsigned bestReaders(unsigned engines, const call_cost& costs)
 {
     unsigned best = 1;
     for (unsigned readers = 2; readers < engines; ++readers) {
@@ -32,14 +32,14 @@
     return best;
 }
 
-void stage_balance::learn(const call_costs& costs)
+void stage_balancer::learn(const call_cost& costs)
 {
     auto weight = std::max(newestWeight, 1.0 / ++m_learnt);
     m_costs.readingMs += weight * (costs.readingMs - m_costs.readingMs);
     m_costs.decodingMs += weight * (costs.decodingMs - m_costs.decodingMs);
 }
 
-std::optional<stage_change> stage_balance::decide(const std::vector<balanced_engine>& engines, time_point now)
+std::optional<stage_change> stage_balancer::decide(const std::vector<engine_stage_load>& engines, time_point now)
 {
     if (m_learnt < leastLearnt || m_costs.readingMs <= 0 || m_costs.decodingMs <= 0 || engines.size() < 2)
         return std::nullopt;
@@ -60,11 +60,11 @@
     std::map<std::string, unsigned> perCentre;
     for (const auto& one : engines)
         perCentre[one.dataCentre] += one.stage == from ? 1 : 0;
-    const balanced_engine* chosen = nullptr;
+    const engine_stage_load* chosen = nullptr;
     for (const auto& one : engines) {
         if (one.stage != from || one.changing)
             continue;
-        auto before = [&](const balanced_engine& left, const balanced_engine& right) {
+        auto before = [&](const engine_stage_load& left, const engine_stage_load& right) {
             auto many = perCentre[left.dataCentre];
             auto few = perCentre[right.dataCentre];
             return many != few ? many > few : left.load < right.load;
--- a/Tests/Bench/decision_bench.cpp
+++ b/Tests/Bench/decision_bench.cpp
@@ -70,7 +70,7 @@
     report.set_request_id(placement.request_id());
     for (auto stage : { wire::STAGE_PREFILLED, wire::STAGE_TRANSFERRED, wire::STAGE_FINISHED }) {
         report.set_stage(stage);
-        decisions.progress(report, now);
+        decisions.handleProgress(report, now);
     }
 }
 
@@ -80,19 +80,19 @@
     auto before = heapBytes();
     pool decisions("model:advisor-llm", pool_kind::Model, {}, {});
     for (std::size_t i = 0; i < endpoints; ++i)
-        decisions.announce(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
+        decisions.handleAnnouncement(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
     if (organisations == 1)
         row("pool: bytes an endpoint", endpoints, static_cast<double>(heapBytes() - before) / static_cast<double>(endpoints), "bytes");
     auto micros = microsOf(400, [&](int i) {
-        decisions.place(request(i, fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations)), clock.now());
-        for (const auto& decision : decisions.decide(clock.now()))
+        decisions.submit(request(i, fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations)), clock.now());
+        for (const auto& decision : decisions.schedule(clock.now()))
             finish(decisions, decision.placement, clock.now());
     });
     row(organisations == 1 ? "pool: a request placed and finished, by endpoints" : "pool: a request placed and finished, by organisations (100 endpoints)", organisations == 1 ? endpoints : organisations, micros, "us");
     if (organisations > 1)
         return;
     auto again = microsOf(2000, [&](int i) {
-        decisions.announce(announcement(static_cast<std::size_t>(i) % endpoints, "decode", 2 + static_cast<std::uint64_t>(i)), milliseconds(0), clock.now());
+        decisions.handleAnnouncement(announcement(static_cast<std::size_t>(i) % endpoints, "decode", 2 + static_cast<std::uint64_t>(i)), milliseconds(0), clock.now());
     });
     row("pool: an announcement taken", endpoints, again, "us");
 }
@@ -104,12 +104,12 @@
     settings.policy = "round_robin";
     pool decisions("model:advisor-llm", pool_kind::Model, settings, {});
     for (std::size_t i = 0; i < 30; ++i)
-        decisions.announce(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
+        decisions.handleAnnouncement(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
     constexpr int requests = 10000;
     auto before = heapBytes();
     for (int i = 0; i < requests; ++i) {
-        decisions.place(request(i, "alpha"), clock.now());
-        decisions.decide(clock.now());
+        decisions.submit(request(i, "alpha"), clock.now());
+        decisions.schedule(clock.now());
     }
     row("pool: bytes a request in flight", requests, static_cast<double>(heapBytes() - before) / requests, "bytes");
 }
--- a/Tests/Routing/RoutingTest.cpp
+++ b/Tests/Routing/RoutingTest.cpp
@@ -31,7 +31,7 @@
 
 std::string faultOf(const configuration& candidate)
 {
-    auto checked = checkConfiguration(candidate);
+    auto checked = validateConfiguration(candidate);
     return checked ? std::string() : checked.error().message;
 }
 }
@@ -49,9 +49,9 @@
 TEST_CASE("A key belongs to one organisation")
 {
     route_table table(goodConfiguration());
-    CHECK(table.organisationOf("k2")->name == "first");
-    CHECK(table.organisationOf("k3")->name == "second");
-    CHECK(table.organisationOf("k4") == nullptr);
+    CHECK(table.findOrganisation("k2")->name == "first");
+    CHECK(table.findOrganisation("k3")->name == "second");
+    CHECK(table.findOrganisation("k4") == nullptr);
 }
 
 TEST_CASE("Weights share out the calls")
--- a/Tests/Scheduling/EnginePlannerTest.cpp
+++ b/Tests/Scheduling/EnginePlannerTest.cpp
@@ -1,5 +1,5 @@
 #include "scheduling/engine_planner.h"
-#include "scheduling/output_forecast.h"
+#include "scheduling/output_estimator.h"
 #include <catch2/catch.hpp>
 
 using namespace pistachiolatch;
@@ -21,9 +21,9 @@
     return row;
 }
 
-engine_ask askOf(std::uint64_t id, std::uint64_t prompt = 5200, std::uint64_t output = 5000)
+placement_request askOf(std::uint64_t id, std::uint64_t prompt = 5200, std::uint64_t output = 5000)
 {
-    engine_ask ask;
+    placement_request ask;
     ask.callId = id;
     ask.service = "llm";
     ask.dataCentre = "a";
@@ -39,7 +39,7 @@
     constexpr std::uint64_t firstCall = 1'000'000;
     for (std::uint64_t i = 1; i <= 10; ++i) {
         REQUIRE_FALSE(planner.place("teacher", askOf(firstCall + i, 100), now).full);
-        planner.release("teacher", firstCall + i, { .readTokens = 20 * i * tokensPerMs, .reading = milliseconds(20 * i) });
+        planner.release("teacher", firstCall + i, { .prefillTokens = 20 * i * tokensPerMs, .prefillTime = milliseconds(20 * i) });
     }
 }
 }
@@ -62,7 +62,7 @@
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.takeEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
     std::map<std::string, int> placed;
     std::uint64_t id = 0;
     while (true) {
@@ -86,7 +86,7 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
     std::uint64_t id = 0;
     std::size_t most = 0;
     std::map<std::uint64_t, time_point> running;
@@ -98,7 +98,7 @@
                 ++it;
                 continue;
             }
-            planner.release("entry", it->first, { .generated = 5000, .generating = runsFor });
+            planner.release("entry", it->first, { .generatedTokens = 5000, .generationTime = runsFor });
             it = running.erase(it);
         }
         auto ask = askOf(++id);
@@ -120,13 +120,13 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
     planner.place("entry", askOf(1), clock.now());
     clock.advance(milliseconds(500));
     planner.place("entry", askOf(2), clock.now());
-    planner.takeCalls("entry", {}, clock.now());
+    planner.replaceCalls("entry", {}, clock.now());
     CHECK(planner.projectedTokens("d1", clock.now()) == 5200 + static_cast<std::uint64_t>(expectedRest(5000, 0)));
-    planner.forgetEntry("entry");
+    planner.removeEntry("entry");
     CHECK(planner.projectedTokens("d1", clock.now()) == 0);
 }
 
@@ -135,9 +135,9 @@
     manual_clock_source clock;
     engine_planner planner(7);
     for (int i = 0; i < 40; ++i)
-        planner.takeEndpoint(rowOf("d" + std::to_string(i), wire::STAGE_DECODE));
-    planner.takeEndpoint(rowOf("p1", wire::STAGE_PREFILL));
-    planner.takeEndpoint(rowOf("p2", wire::STAGE_PREFILL));
+        planner.updateEndpoint(rowOf("d" + std::to_string(i), wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("p1", wire::STAGE_PREFILL));
+    planner.updateEndpoint(rowOf("p2", wire::STAGE_PREFILL));
     teachReading(planner, clock.now(), 50);
     clock.advance(milliseconds(1000));
     auto first = planner.place("entry", askOf(1), clock.now());
@@ -160,9 +160,9 @@
     leaving.mutable_report()->set_state(wire::ENDPOINT_LEAVING);
     auto silent = rowOf("d2", wire::STAGE_DECODE);
     silent.set_silent(true);
-    planner.takeEndpoint(leaving);
-    planner.takeEndpoint(silent);
-    planner.takeEndpoint(rowOf("d3", wire::STAGE_DECODE));
+    planner.updateEndpoint(leaving);
+    planner.updateEndpoint(silent);
+    planner.updateEndpoint(rowOf("d3", wire::STAGE_DECODE));
     auto ask = askOf(1);
     ask.exclude = { "d3" };
     CHECK(planner.place("entry", ask, clock.now()).full);
@@ -178,8 +178,8 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.takeEndpoint(rowOf("d2", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
     auto ask = askOf(1);
     ask.avoid = { "d1" };
     CHECK(planner.place("entry", ask, clock.now()).decode == "d2");
@@ -195,8 +195,8 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.takeEndpoint(rowOf("p1", wire::STAGE_PREFILL));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("p1", wire::STAGE_PREFILL));
     teachReading(planner, clock.now(), 50);
     clock.advance(milliseconds(1000));
     auto ask = [](std::uint64_t id, std::uint64_t prompt) {
@@ -216,7 +216,7 @@
     // Without any prefill engine there is no other way.
     auto gone = rowOf("p1", wire::STAGE_PREFILL);
     gone.mutable_report()->set_state(wire::ENDPOINT_GONE);
-    planner.takeEndpoint(gone);
+    planner.updateEndpoint(gone);
     CHECK_FALSE(planner.place("entry", ask(++id, 5200), clock.now()).full);
 }
 
@@ -226,21 +226,21 @@
 // as longer still the longer it runs.
 TEST_CASE("Forecasts of answers use guesses and history")
 {
-    output_forecast forecast;
-    CHECK(forecast.expect("r", 9000, std::nullopt) == 4500);
+    output_estimator forecast;
+    CHECK(forecast.estimate("r", 9000, std::nullopt) == 4500);
     for (int i = 0; i < 200; ++i)
-        forecast.learn("r", i % 2 == 0 ? 2000 : 8000);
-    auto usual = forecast.expect("r", 9000, std::nullopt);
+        forecast.record("r", i % 2 == 0 ? 2000 : 8000);
+    auto usual = forecast.estimate("r", 9000, std::nullopt);
     CHECK(usual > 3900);
     CHECK(usual < 4200);
-    auto low = forecast.expect("r", 9000, 1000);
-    auto high = forecast.expect("r", 9000, 16000);
+    auto low = forecast.estimate("r", 9000, 1000);
+    auto high = forecast.estimate("r", 9000, 16000);
     CHECK(low > 1500);
     CHECK(low < usual);
     CHECK(high > usual);
     CHECK(high < 8500);
-    CHECK(forecast.expect("r", 3000, 16000) == 3000);
-    CHECK(forecast.expect("r", 0, 16000) == 0);
+    CHECK(forecast.estimate("r", 3000, 16000) == 3000);
+    CHECK(forecast.estimate("r", 0, 16000) == 0);
     double rest = expectedRest(5000, 0);
     CHECK(rest > 5000);
     CHECK(expectedRest(5000, 3000) < rest - 2000);
@@ -254,7 +254,7 @@
 {
     std::mt19937_64 random(11);
     std::normal_distribution<double> spread(0, 0.5);
-    output_forecast forecast;
+    output_estimator forecast;
     double byForecast = 0;
     double byGuess = 0;
     double byUsual = 0;
@@ -262,11 +262,11 @@
         auto length = std::min(9400.0, 4500 * std::exp(spread(random)));
         auto guess = length * std::exp(spread(random));
         if (i > 200) {
-            byForecast += std::pow(static_cast<double>(forecast.expect("r", 9400, static_cast<std::uint64_t>(guess))) - length, 2);
+            byForecast += std::pow(static_cast<double>(forecast.estimate("r", 9400, static_cast<std::uint64_t>(guess))) - length, 2);
             byGuess += std::pow(std::min(guess, 9400.0) - length, 2);
             byUsual += std::pow(4900 - length, 2);
         }
-        forecast.learn("r", static_cast<std::uint64_t>(length));
+        forecast.record("r", static_cast<std::uint64_t>(length));
     }
     CHECK(byForecast < 0.75 * byGuess);
     CHECK(byForecast < 0.75 * byUsual);
@@ -281,7 +281,7 @@
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.takeEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
     std::uint64_t id = 0;
     int atBad = 0;
     for (int step = 0; step < 300; ++step) {
@@ -292,9 +292,9 @@
         planner.release(entry, id);
         if (plan.decode == "d1") {
             ++atBad;
-            planner.noteFailure("d1", clock.now());
+            planner.recordFailure("d1", clock.now());
         } else {
-            planner.noteSuccess(plan.decode);
+            planner.recordSuccess(plan.decode);
         }
     }
     CHECK(atBad >= 10);
@@ -305,7 +305,7 @@
         clock.advance(milliseconds(100));
         auto plan = planner.place("entry", askOf(++id, 500, 500), clock.now());
         planner.release("entry", id);
-        planner.noteSuccess(plan.decode);
+        planner.recordSuccess(plan.decode);
         atGood += plan.decode == "d1";
     }
     CHECK(atGood >= 8);
@@ -319,18 +319,18 @@
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.takeEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
     for (int i = 0; i < 20; ++i)
-        planner.noteFailure("d1", clock.now());
+        planner.recordFailure("d1", clock.now());
     std::set<std::string> used;
     for (std::uint64_t id = 1; id <= 9; ++id)
         used.insert(planner.place("entry", askOf(id), clock.now()).decode);
     CHECK(used.size() == 3);
-    planner.forgetEntry("entry");
+    planner.removeEntry("entry");
     for (int i = 0; i < 5; ++i) {
         clock.advance(milliseconds(100));
         for (const auto* id : { "d1", "d2" })
-            planner.noteFailure(id, clock.now());
+            planner.recordFailure(id, clock.now());
     }
     used.clear();
     for (std::uint64_t id = 1; id <= 9; ++id)
@@ -345,8 +345,8 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.takeEndpoint(rowOf("d2", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
     auto first = planner.place("entry", askOf(1), clock.now());
     wire::running_call running;
     running.set_id(1);
@@ -356,15 +356,15 @@
     running.set_generated(500);
     for (int i = 0; i < 4; ++i) {
         clock.advance(milliseconds(100));
-        planner.noteFailure(first.decode, clock.now());
-        planner.takeCalls("entry", { running }, clock.now());
+        planner.recordFailure(first.decode, clock.now());
+        planner.replaceCalls("entry", { running }, clock.now());
     }
     for (std::uint64_t id = 2; id <= 4; ++id)
         CHECK(planner.place("entry", askOf(id), clock.now()).decode != first.decode);
     // One that was placed since does.
     clock.advance(milliseconds(500));
     running.set_id(9);
-    planner.takeCalls("entry", { running }, clock.now());
+    planner.replaceCalls("entry", { running }, clock.now());
     std::set<std::string> used;
     for (std::uint64_t id = 10; id <= 13; ++id)
         used.insert(planner.place("entry", askOf(id), clock.now()).decode);
@@ -379,10 +379,10 @@
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.takeEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
     for (int i = 0; i < 3; ++i) {
         clock.advance(milliseconds(100));
-        planner.noteFailure("d1", clock.now());
+        planner.recordFailure("d1", clock.now());
     }
     int trials = 0;
     for (std::uint64_t id = 1; id <= 40; ++id) {
@@ -402,12 +402,12 @@
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.takeEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.takeEndpoint(rowOf("d2", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
     std::uint64_t id = 0;
     for (int i = 0; i < 3; ++i)
         planner.place("entry", askOf(++id, 5200, 100), clock.now());
-    planner.noteRefusal("d1", clock.now());
+    planner.recordRefusal("d1", clock.now());
     int atFirst = 0;
     for (int i = 0; i < 3; ++i)
         atFirst += planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1" ? 1 : 0;
@@ -415,16 +415,16 @@
     clock.advance(milliseconds(200));
     CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1");
     // Refused again, it is left alone for longer; served once, it starts anew.
-    planner.noteRefusal("d1", clock.now());
+    planner.recordRefusal("d1", clock.now());
     clock.advance(milliseconds(200));
     CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d2");
     clock.advance(milliseconds(200));
-    planner.noteSuccess("d1");
-    planner.noteRefusal("d1", clock.now());
+    planner.recordSuccess("d1");
+    planner.recordRefusal("d1", clock.now());
     clock.advance(milliseconds(200));
     CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1");
     // Where all refuse, the call waits.
-    planner.noteRefusal("d1", clock.now());
-    planner.noteRefusal("d2", clock.now());
+    planner.recordRefusal("d1", clock.now());
+    planner.recordRefusal("d2", clock.now());
     CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).full);
 }
--- a/Tests/Scheduling/PlanQueueTest.cpp
+++ b/Tests/Scheduling/PlacementQueueTest.cpp
@@ -3,7 +3,7 @@
 // What happens: calls wait to the end of their patience, whether or not engines can be free by then.
 // Why it must not: a call that can't start in time takes the place of one that could; who is refused should know at once,
 // and come back when there is room.
-#include "scheduling/plan_queue.h"
+#include "scheduling/placement_queue.h"
 #include <catch2/catch.hpp>
 
 using namespace pistachiolatch;
@@ -37,27 +37,27 @@
         report.set_service("llm");
         report.set_slots(64);
         report.set_stage(stage);
-        planner.takeEndpoint(row);
+        planner.updateEndpoint(row);
     }
 
-    void ask()
+    void submit()
     {
-        plan_question question;
+        queued_request question;
         question.ticket = ++lastTicket;
         question.entry = "entry";
-        question.ask.callId = question.ticket;
-        question.ask.service = "llm";
-        question.ask.promptTokens = promptTokens;
-        question.ask.outputTokens = outputTokens;
-        question.ask.memoryTokens = memoryTokens;
-        question.giveUpAt = clock.now() + target * 7 / 10;
-        question.targetAt = clock.now() + target;
+        question.request.callId = question.ticket;
+        question.request.service = "llm";
+        question.request.promptTokens = promptTokens;
+        question.request.outputTokens = outputTokens;
+        question.request.memoryTokens = memoryTokens;
+        question.waitDeadline = clock.now() + target * 7 / 10;
+        question.firstEventDeadline = clock.now() + target;
         askedAt[question.ticket] = clock.now();
         queue.add(std::move(question));
     }
 
     /// Lets the queue decide, and ends calls that have run their time.
-    std::vector<plan_verdict> step()
+    std::vector<placement_result> step()
     {
         for (auto it = running.begin(); it != running.end();) {
             if (clock.now() < it->second) {
@@ -69,7 +69,7 @@
         }
         auto verdicts = queue.step(planner, clock.now());
         for (const auto& one : verdicts) {
-            if (!one.plan.full)
+            if (!one.placement.full)
                 running[one.ticket] = clock.now() + reading + firstEvent + generating;
         }
         return verdicts;
@@ -77,7 +77,7 @@
 
     manual_clock_source clock;
     engine_planner planner { 7 };
-    plan_queue queue;
+    placement_queue queue;
     std::uint64_t lastTicket = 0;
     std::map<std::uint64_t, time_point> askedAt;
     std::map<std::uint64_t, time_point> running;
@@ -107,12 +107,12 @@
         // What fits easily comes first, so that engines' figures are learnt.
         due += (at < learning / 2 ? gentle : callsASecond) / stepsASecond;
         for (; due >= 1; due -= 1)
-            engines.ask();
+            engines.submit();
         for (const auto& one : engines.step()) {
             auto waited = std::chrono::duration_cast<milliseconds>(engines.clock.now() - engines.askedAt[one.ticket]);
             if (at < learning)
                 continue;
-            if (!one.plan.full) {
+            if (!one.placement.full) {
                 outcome.servedASecond += static_cast<double>(stepsASecond) / measured;
                 outcome.late += waited + reading + firstEvent > target ? 1 : 0;
                 continue;
@@ -148,13 +148,13 @@
 {
     busy_engines engines;
     while (true) {
-        engines.ask();
+        engines.submit();
         auto verdicts = engines.step();
-        if (verdicts.empty() || verdicts.front().plan.full)
+        if (verdicts.empty() || verdicts.front().placement.full)
             break;
     }
     for (int i = 0; i < 20; ++i)
-        engines.ask();
+        engines.submit();
     engines.clock.advance(target);
     std::set<milliseconds> returns;
     for (const auto& one : engines.step())
@@ -167,19 +167,19 @@
     busy_engines engines;
     std::uint64_t last = 0;
     while (true) {
-        engines.ask();
+        engines.submit();
         last = engines.lastTicket;
         if (engines.step().empty())
             break;
         REQUIRE(last < 100);
     }
-    plan_question begun;
+    queued_request begun;
     begun.ticket = 1000;
     begun.entry = "entry";
-    begun.ask = { .callId = 1000, .service = "llm", .dataCentre = {}, .promptTokens = promptTokens, .outputTokens = outputTokens, .memoryTokens = memoryTokens, .exclude = {}, .avoid = {} };
-    begun.giveUpAt = engines.clock.now() + milliseconds(1000);
-    begun.targetAt = engines.clock.now();
-    begun.begun = true;
+    begun.request = { .callId = 1000, .service = "llm", .dataCentre = {}, .promptTokens = promptTokens, .outputTokens = outputTokens, .memoryTokens = memoryTokens, .exclude = {}, .avoid = {} };
+    begun.waitDeadline = engines.clock.now() + milliseconds(1000);
+    begun.firstEventDeadline = engines.clock.now();
+    begun.streamStarted = true;
     engines.queue.add(begun);
     for (const auto& one : engines.step())
         CHECK(one.ticket != 1000);
@@ -189,7 +189,7 @@
     auto verdicts = engines.step();
     REQUIRE_FALSE(verdicts.empty());
     CHECK(verdicts.front().ticket == 1000);
-    CHECK_FALSE(verdicts.front().plan.full);
-    engines.queue.forget("entry");
+    CHECK_FALSE(verdicts.front().placement.full);
+    engines.queue.removeEntry("entry");
     CHECK(engines.queue.empty());
 }
--- a/Tests/Scheduling/PoolTest.cpp
+++ b/Tests/Scheduling/PoolTest.cpp
@@ -26,7 +26,7 @@
         endpoint.set_step_us(10000);
         endpoint.set_link_mbps(10000);
         endpoint.set_kv_bytes_per_token(1000);
-        decisions.announce(endpoint, milliseconds(0), clock.now());
+        decisions.handleAnnouncement(endpoint, milliseconds(0), clock.now());
     }
     void place(const std::string& id, const std::string& organisation = "alpha", std::uint32_t prompt = 100, std::uint32_t patience = 5000, std::uint32_t attempt = 0)
     {
@@ -41,7 +41,7 @@
         request.place.set_fingerprint(fingerprint);
         request.entryName = "vm1";
         request.entryIncarnation = 1;
-        decisions.place(std::move(request), clock.now());
+        decisions.submit(std::move(request), clock.now());
     }
     void progress(const std::string& id, wire::progress_stage stage, const std::string& endpoint = "")
     {
@@ -49,13 +49,13 @@
         report.set_request_id(id);
         report.set_stage(stage);
         report.set_endpoint(endpoint);
-        decisions.progress(report, clock.now());
+        decisions.handleProgress(report, clock.now());
     }
     std::vector<std::string> step(milliseconds passed = milliseconds(0))
     {
         clock.advance(passed);
         std::vector<std::string> ids;
-        for (const auto& decision : decisions.decide(clock.now()))
+        for (const auto& decision : decisions.schedule(clock.now()))
             ids.push_back(decision.placement.request_id() + (decision.placement.refused().empty() ? "" : "!" + decision.placement.refused()));
         return ids;
     }
@@ -173,7 +173,7 @@
 TEST_CASE("A late request yields and is not starved")
 {
     pool_settings settings;
-    settings.lateShare = 20;
+    settings.lateSharePercent = 20;
     pool_bench bench(settings);
     bench.announce("p1", "prefill");
     bench.announce("d1", "decode", 50);
@@ -212,7 +212,7 @@
     CHECK(decided == ids { "late!deadline_unreachable" });
     bench.place("none", "alpha", 100, 500);
     bench.clock.advance(milliseconds(4000));
-    bench.decisions.expire(bench.clock.now());
+    bench.decisions.expireEndpoints(bench.clock.now());
     bench.place("nobody");
     auto refused = bench.step();
     CHECK(std::find(refused.begin(), refused.end(), "nobody!no_endpoint") != refused.end());
@@ -264,7 +264,7 @@
     held->set_decode_id("d1");
     held->set_max_tokens(100);
     held->set_prefilled(true);
-    bench.decisions.held(report, "vm1", 1, bench.clock.now());
+    bench.decisions.restoreReservations(report, "vm1", 1, bench.clock.now());
     bench.place("r1");
     CHECK(bench.step().empty());
     // The entry dies: its live list no longer holds it, and its booking goes.
@@ -272,9 +272,9 @@
     other.set_name("vm1");
     other.set_incarnation(1);
     other.set_kind(wire::PROCESS_ENTRY);
-    bench.decisions.sweep({ other }, bench.clock.now());
+    bench.decisions.removeDeadEntries({ other }, bench.clock.now());
     CHECK(bench.decisions.endpoints().inFlight() == 1);
-    bench.decisions.sweep({}, bench.clock.now());
+    bench.decisions.removeDeadEntries({}, bench.clock.now());
     CHECK(bench.decisions.endpoints().inFlight() == 0);
     CHECK(bench.decisions.waiting() == 0);
 }
@@ -291,12 +291,12 @@
     report.set_fingerprint(1);
     report.set_endpoint("p9");
     report.set_request_id("first");
-    bench.decisions.crash(report, bench.clock.now());
+    bench.decisions.handleCrashReport(report, bench.clock.now());
     bench.place("r1");
     bench.place("r2");
     CHECK(bench.step() == ids { "r1" });
     report.set_request_id("r1");
-    bench.decisions.crash(report, bench.clock.now());
+    bench.decisions.handleCrashReport(report, bench.clock.now());
     bench.progress("r1", wire::STAGE_FAILED);
     CHECK(bench.step() == ids { "r2!poison_request" });
 }
--- a/Tests/Scheduling/StageBalanceTest.cpp
+++ b/Tests/Scheduling/StageBalancerTest.cpp
@@ -5,21 +5,21 @@
 // Why it must not: an engine can work in either stage. But a change takes it out for seconds, so small gains, short losses
 // and few observations are no reason for one.
 #include "scheduling/engine_planner.h"
-#include "scheduling/stage_balance.h"
+#include "scheduling/stage_balancer.h"
 #include <catch2/catch.hpp>
 
 using namespace pistachiolatch;
 
 namespace {
 /// Answers that hold memory for long, and short ones.
-constexpr call_costs longAnswers { 90, 350 };
-constexpr call_costs shortAnswers { 90, 60 };
+constexpr call_cost longAnswers { 90, 350 };
+constexpr call_cost shortAnswers { 90, 60 };
 
-std::vector<balanced_engine> enginesOf(unsigned readers, unsigned decoders)
+std::vector<engine_stage_load> enginesOf(unsigned readers, unsigned decoders)
 {
-    std::vector<balanced_engine> engines;
+    std::vector<engine_stage_load> engines;
     for (unsigned i = 0; i < readers + decoders; ++i) {
-        balanced_engine one;
+        engine_stage_load one;
         one.id = "e" + std::to_string(i);
         one.dataCentre = std::string(1, static_cast<char>('a' + i % 3));
         one.stage = i < readers ? wire::STAGE_PREFILL : wire::STAGE_DECODE;
@@ -34,16 +34,16 @@
     return time_point {} + std::chrono::hours(1) + milliseconds(ms);
 }
 
-stage_balance balanceFor(const call_costs& costs)
+stage_balancer balanceFor(const call_cost& costs)
 {
-    stage_balance balance;
+    stage_balancer balance;
     for (int i = 0; i < 50; ++i)
         balance.learn(costs);
     return balance;
 }
 
 /// Asks every half second and carries changes out at once. Returns the readers in the end.
-unsigned settle(stage_balance& balance, std::vector<balanced_engine>& engines, int fromMs, int forMs)
+unsigned settle(stage_balancer& balance, std::vector<engine_stage_load>& engines, int fromMs, int forMs)
 {
     for (int ms = fromMs; ms < fromMs + forMs; ms += 500) {
         auto change = balance.decide(engines, at(ms));
@@ -98,7 +98,7 @@
 
 TEST_CASE("Few observations give no order, and the last engine of a stage keeps it")
 {
-    stage_balance balance;
+    stage_balancer balance;
     balance.learn(shortAnswers);
     auto engines = enginesOf(1, 11);
     CHECK(settle(balance, engines, 0, 30000) == 1);
@@ -120,12 +120,12 @@
         one.mutable_report()->set_stage(stage);
         return one;
     };
-    planner.takeEndpoint(row("d1", wire::STAGE_DECODE));
-    planner.takeEndpoint(row("d2", wire::STAGE_DECODE));
-    planner.beginChange({ "d1", wire::STAGE_PREFILL }, clock.now() + milliseconds(20000));
+    planner.updateEndpoint(row("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(row("d2", wire::STAGE_DECODE));
+    planner.startStageChange({ "d1", wire::STAGE_PREFILL }, clock.now() + milliseconds(20000));
     std::uint64_t id = 0;
     auto ask = [&] {
-        engine_ask one;
+        placement_request one;
         one.callId = ++id;
         one.service = "llm";
         one.promptTokens = 100;
@@ -135,18 +135,18 @@
     };
     for (int i = 0; i < 5; ++i)
         CHECK(planner.place("entry", ask(), clock.now()).decode == "d2");
-    planner.takeEndpoint(row("d1", wire::STAGE_PREFILL));
+    planner.updateEndpoint(row("d1", wire::STAGE_PREFILL));
     CHECK(planner.place("entry", ask(), clock.now()).prefill == "d1");
     // An order that came to nothing leaves the engine as it is, to be used at once.
-    planner.beginChange({ "d2", wire::STAGE_PREFILL }, clock.now() + milliseconds(20000));
+    planner.startStageChange({ "d2", wire::STAGE_PREFILL }, clock.now() + milliseconds(20000));
     CHECK(planner.place("entry", ask(), clock.now()).full);
-    planner.endChange("d2", clock.now());
+    planner.cancelStageChange("d2", clock.now());
     CHECK_FALSE(planner.place("entry", ask(), clock.now()).full);
 }
 
 TEST_CASE("Engine figures are learnt from readings that overlap, queue and grow slow")
 {
-    engine_figures figures;
+    engine_speed_model figures;
     std::mt19937_64 random(3);
     // 20 ms for every thousand tokens and 120 ms for any prompt; one in three stands in a queue.
     auto reading = [&](std::uint64_t tokens, double msPerThousand) {
