--- a/Source/scheduling/circuit_breaker.h
+++ b/Source/scheduling/circuit_breaker.h
@@ -5,30 +5,30 @@
 
 namespace pistachiolatch {
 
-/// Keeps work away from endpoints that fail again and again: opens after consecutive failures, then lets exactly
-/// one trial through (the breaker with one trial is the idea of the article cited in docs/DESIGN.md).
+/// Keeps work away from endpoints that fail repeatedly: opens after consecutive failures, then lets one probe at a time
+/// through. docs/DESIGN.md cites the article that describes a breaker with a single probe.
 /// Not thread-safe.
 class circuit_breaker {
 public:
-    /// Whether new work may go to the endpoint now. Does not start a trial.
+    /// Whether new work may go to the endpoint now. Does not start a probe.
     bool allows(const std::string& endpoint, time_point now) const;
-    /// Tells that work was sent to the endpoint; an open breaker thereby starts its one trial.
+    /// Records that work was sent to the endpoint. If its breaker is open, this work is the probe.
     void onSent(const std::string& endpoint, time_point now);
-    /// Work on the endpoint ended without telling whether it is sound: refused as full, or its caller left. A trial may
-    /// begin anew.
-    void onUndecided(const std::string& endpoint);
-    void onSuccess(const std::string& endpoint) { m_rows.erase(endpoint); }
+    /// Work ended without showing whether the endpoint is healthy: it was refused as full, or its caller disconnected.
+    /// Allows another probe.
+    void onInconclusive(const std::string& endpoint);
+    void onSuccess(const std::string& endpoint) { m_records.erase(endpoint); }
     void onFailure(const std::string& endpoint, time_point now);
-    void forget(const std::string& endpoint) { m_rows.erase(endpoint); }
+    void reset(const std::string& endpoint) { m_records.erase(endpoint); }
 
 private:
-    struct row {
+    struct endpoint_record {
         unsigned failures = 0;
         time_point openUntil {};
-        /// A trial that never reports ends by itself.
-        time_point trialUntil {};
+        /// When a probe without a reported outcome times out.
+        time_point probeUntil {};
     };
-    std::map<std::string, row> m_rows;
+    std::map<std::string, endpoint_record> m_records;
 };
 
 } // namespace pistachiolatch
--- a/Source/scheduling/engine_planner.cpp
+++ b/Source/scheduling/engine_planner.cpp
@@ -7,28 +7,29 @@
 namespace pistachiolatch {
 
 namespace {
-    /// A call placed more recently than this may not be in its entry's list yet: a plan takes a few milliseconds to
-    /// arrive.
-    constexpr milliseconds listLag { 80 };
-    /// What another data centre costs, as a share of memory and as time: a transfer takes twice as long there.
-    constexpr double remoteLoad = 0.03;
-    constexpr milliseconds remoteDelay { 3 };
-    /// Prompts that a prefill engine still has to read when it counts as busy. With a longer queue the first event would
-    /// come later than callers are content with.
-    constexpr milliseconds longestPromptQueue { 300 };
-    /// A decode engine reads a prompt at half the speed of a prefill engine and makes no tokens meanwhile.
-    constexpr int decodeReadsSlower = 2;
-    /// The longest pause that a prompt may bring to the streams of a decode engine which reads it: without a bound, all
-    /// streams of an engine stand still, time and again, while the prefill engines are busy.
-    constexpr milliseconds longestDecodeRead { 120 };
-    /// How long an engine that refused a call is left alone, doubled with each refusal up to about the time of a call.
-    constexpr milliseconds firstRefusalPause { 150 };
-    constexpr unsigned mostDoublings = 3;
-    /// Failures so close together count once: connections that are reset at one moment have one cause, which need not be
-    /// the engine's.
-    constexpr milliseconds oneMoment { 50 };
+    /// A call placed more recently than this may not be in its entry's list yet: the placement takes a few
+    /// milliseconds to arrive.
+    constexpr milliseconds maxPlacementDelay { 80 };
+    /// Penalty for another data centre, as a share of memory and as time: transfers between data centres take twice as
+    /// long.
+    constexpr double remoteMemoryCost = 0.03;
+    constexpr milliseconds remotePrefillDelay { 3 };
+    /// Longest queue of a prefill engine that accepts another prompt. With a longer queue the first event would miss
+    /// its latency target.
+    constexpr milliseconds maxPrefillQueue { 300 };
+    /// A decode engine prefills at half the speed of a prefill engine and generates no tokens meanwhile.
+    constexpr int decodePrefillSlowdown = 2;
+    /// Longest stall of a decode engine's streams for prefilling a prompt itself. Without a limit all its streams stall
+    /// repeatedly while the prefill engines are busy.
+    constexpr milliseconds maxDecodePrefillTime { 120 };
+    /// Backoff after a refusal, doubled with each further one up to about the duration of a call.
+    constexpr milliseconds initialRefusalBackoff { 150 };
+    constexpr unsigned maxBackoffDoublings = 3;
+    /// Failures within this time count once: connections that are reset together have one cause, possibly not the
+    /// engine.
+    constexpr milliseconds failureMergeWindow { 50 };
 
-    double inMs(duration time)
+    double toMs(duration time)
     {
         return std::chrono::duration<double, std::milli>(time).count();
     }
@@ -39,187 +40,187 @@
     const auto& report = row.report();
     if (report.state() == wire::ENDPOINT_GONE) {
         m_engines.erase(report.id());
-        m_breaker.forget(report.id());
+        m_breaker.reset(report.id());
         return;
     }
-    auto& one = m_engines[report.id()];
-    if (one.row.report().born_ms() != report.born_ms()) {
-        one.promptsReadAt = {};
-        m_breaker.forget(report.id());
+    auto& updated = m_engines[report.id()];
+    if (updated.row.report().born_ms() != report.born_ms()) {
+        updated.prefillsDoneAt = {};
+        m_breaker.reset(report.id());
     }
-    one.row = row;
-    if (report.stage() == one.changesTo)
-        one.changesTo = wire::STAGE_ANY;
+    updated.row = row;
+    if (report.stage() == updated.targetStage)
+        updated.targetStage = wire::STAGE_ANY;
 }
 
-bool engine_planner::serves(const engine& one, const placement_request& ask, wire::endpoint_stage stage)
+bool engine_planner::isEligible(const engine& candidate, const placement_request& request, wire::endpoint_stage stage)
 {
-    const auto& report = one.row.report();
-    return report.service() == ask.service && report.stage() == stage && report.state() == wire::ENDPOINT_SERVING && !one.row.silent()
-        && !ask.exclude.count(report.id());
+    const auto& report = candidate.row.report();
+    return report.service() == request.service && report.stage() == stage && report.state() == wire::ENDPOINT_SERVING && !candidate.row.silent()
+        && !request.exclude.count(report.id());
 }
 
-std::vector<engine_planner::engine*> engine_planner::candidates(const placement_request& ask, wire::endpoint_stage stage, time_point now)
+std::vector<engine_planner::engine*> engine_planner::candidates(const placement_request& request, wire::endpoint_stage stage, time_point now)
 {
-    std::vector<engine*> sound;
+    std::vector<engine*> healthy;
     std::vector<engine*> failing;
-    std::vector<engine*> doubtful;
-    for (auto& [id, one] : m_engines) {
-        if (!serves(one, ask, stage) || isChanging(one, now) || now < one.fullUntil)
+    std::vector<engine*> avoided;
+    for (auto& [id, candidate] : m_engines) {
+        if (!isEligible(candidate, request, stage) || isChangingStage(candidate, now) || now < candidate.backoffUntil)
             continue;
-        if (ask.avoid.count(id))
-            doubtful.push_back(&one);
+        if (request.avoid.count(id))
+            avoided.push_back(&candidate);
         else
-            (m_breaker.allows(id, now) ? sound : failing).push_back(&one);
+            (m_breaker.allows(id, now) ? healthy : failing).push_back(&candidate);
     }
-    // Where most engines fail the cause is not theirs, and the few others would be overfilled.
-    if (failing.size() > sound.size())
-        sound.insert(sound.end(), failing.begin(), failing.end());
-    // A call waits for a sound engine rather than go to one that just failed; where all failed, waiting helps nobody.
-    return sound.empty() ? doubtful : sound;
+    // If most engines fail, the cause is elsewhere, and the remaining ones would be overloaded.
+    if (failing.size() > healthy.size())
+        healthy.insert(healthy.end(), failing.begin(), failing.end());
+    // Avoided engines are used only if there is no other; otherwise the call waits for a healthy engine.
+    return healthy.empty() ? avoided : healthy;
 }
 
-const engine_speed_model& engine_planner::figuresAt(const std::string& endpoint) const
+const engine_speed_model& engine_planner::speedModelOf(const std::string& endpoint) const
 {
-    static const engine_speed_model unknown;
+    static const engine_speed_model defaults;
     auto engine = m_engines.find(endpoint);
-    auto known = engine == m_engines.end() ? m_figures.end() : m_figures.find(engine->second.row.report().service());
-    return known == m_figures.end() ? unknown : known->second;
+    auto model = engine == m_engines.end() ? m_speedModels.end() : m_speedModels.find(engine->second.row.report().service());
+    return model == m_speedModels.end() ? defaults : model->second;
 }
 
-duration engine_planner::timeToFirstEvent(const placement_request& ask)
+duration engine_planner::timeToFirstEvent(const placement_request& request)
 {
-    return m_figures[ask.service].timeToFirstEvent(ask.promptTokens);
+    return m_speedModels[request.service].timeToFirstEvent(request.promptTokens);
 }
 
-double engine_planner::expectedEnds(const std::string& service, duration within, time_point now) const
+double engine_planner::expectedCompletions(const std::string& service, duration within, time_point now) const
 {
-    double ends = 0;
+    double completions = 0;
     for (const auto& [entry, calls] : m_calls) {
         for (const auto& [id, call] : calls) {
             auto engine = m_engines.find(call.endpoint);
             if (engine == m_engines.end() || engine->second.row.report().service() != service)
                 continue;
-            auto restMs = static_cast<double>(userOf(call, now).remaining) / figuresAt(call.endpoint).generatedTokensPerMs();
-            ends += 1 - std::exp(-inMs(within) / std::max(restMs, 1.0));
+            auto remainingMs = static_cast<double>(memoryOf(call, now).remaining) / speedModelOf(call.endpoint).generatedTokensPerMs();
+            completions += 1 - std::exp(-toMs(within) / std::max(remainingMs, 1.0));
         }
     }
-    return ends;
+    return completions;
 }
 
-call_memory engine_planner::userOf(const placed_call& call, time_point now) const
+call_memory engine_planner::memoryOf(const placed_call& call, time_point now) const
 {
-    auto grown = call.generated + static_cast<std::uint64_t>(std::max(0.0, inMs(now - call.at) * figuresAt(call.endpoint).generatedTokensPerMs()));
-    return { call.prompt + grown, static_cast<std::uint64_t>(expectedRest(call.output, grown)) };
+    auto generated = call.generatedTokens + static_cast<std::uint64_t>(std::max(0.0, toMs(now - call.updatedAt) * speedModelOf(call.endpoint).generatedTokensPerMs()));
+    return { call.promptTokens + generated, static_cast<std::uint64_t>(expectedRemaining(call.outputTokens, generated)) };
 }
 
-engine_planner::users_by_endpoint engine_planner::usersNow(time_point now) const
+engine_planner::memory_by_endpoint engine_planner::memoryByEndpoint(time_point now) const
 {
-    users_by_endpoint users;
+    memory_by_endpoint memory;
     for (const auto& [entry, calls] : m_calls) {
         for (const auto& [id, call] : calls)
-            users[call.endpoint].push_back(userOf(call, now));
+            memory[call.endpoint].push_back(memoryOf(call, now));
     }
-    return users;
+    return memory;
 }
 
 std::uint64_t engine_planner::projectedTokens(const std::string& endpoint, time_point now) const
 {
-    auto users = usersNow(now);
-    auto found = users.find(endpoint);
-    return found == users.end() ? 0 : peakMemory(found->second);
+    auto memory = memoryByEndpoint(now);
+    auto found = memory.find(endpoint);
+    return found == memory.end() ? 0 : peakMemory(found->second);
 }
 
-engine_planner::engine* engine_planner::pickDecode(const placement_request& ask, time_point now)
+engine_planner::engine* engine_planner::chooseDecode(const placement_request& request, time_point now)
 {
-    auto users = usersNow(now);
+    auto callsByEndpoint = memoryByEndpoint(now);
     engine* best = nullptr;
     double bestCost = 0;
-    auto memory = static_cast<double>(std::max<std::uint64_t>(ask.memoryTokens, 1));
-    for (auto* one : candidates(ask, wire::STAGE_DECODE, now)) {
-        const auto& report = one->row.report();
-        auto& running = users[report.id()];
+    auto capacity = static_cast<double>(std::max<std::uint64_t>(request.memoryTokens, 1));
+    for (auto* candidate : candidates(request, wire::STAGE_DECODE, now)) {
+        const auto& report = candidate->row.report();
+        auto& running = callsByEndpoint[report.id()];
         bool empty = running.empty();
-        running.push_back({ ask.promptTokens, static_cast<std::uint64_t>(expectedRest(ask.outputTokens, 0)) });
+        running.push_back({ request.promptTokens, static_cast<std::uint64_t>(expectedRemaining(request.outputTokens, 0)) });
         auto peak = static_cast<double>(peakMemory(running));
         bool slotFree = report.slots() == 0 || running.size() <= report.slots();
-        // A request larger than the memory that is projected is served where nothing else runs.
-        if (!empty && (peak > memory || !slotFree))
+        // An idle engine also accepts a request whose projected memory exceeds the capacity.
+        if (!empty && (peak > capacity || !slotFree))
             continue;
         double tieBreak = std::uniform_real_distribution<double>(0, 0.01)(m_random);
-        double cost = peak / memory + (report.data_centre() == ask.dataCentre ? 0 : remoteLoad) + tieBreak;
+        double cost = peak / capacity + (report.data_centre() == request.dataCentre ? 0 : remoteMemoryCost) + tieBreak;
         if (best && cost >= bestCost)
             continue;
-        best = one;
+        best = candidate;
         bestCost = cost;
     }
     return best;
 }
 
-engine_planner::engine* engine_planner::pickPrefill(const placement_request& ask, const std::string& nearTo, time_point now)
+engine_planner::engine* engine_planner::choosePrefill(const placement_request& request, const std::string& dataCentre, time_point now)
 {
     engine* best = nullptr;
     time_point bestAt {};
-    for (auto* one : candidates(ask, wire::STAGE_PREFILL, now)) {
-        auto at = std::max(now, one->promptsReadAt);
-        if (one->row.report().data_centre() != nearTo)
-            at += remoteDelay;
+    for (auto* candidate : candidates(request, wire::STAGE_PREFILL, now)) {
+        auto at = std::max(now, candidate->prefillsDoneAt);
+        if (candidate->row.report().data_centre() != dataCentre)
+            at += remotePrefillDelay;
         if (best && at >= bestAt)
             continue;
-        best = one;
+        best = candidate;
         bestAt = at;
     }
-    return best && bestAt - now <= longestPromptQueue ? best : nullptr;
+    return best && bestAt - now <= maxPrefillQueue ? best : nullptr;
 }
 
-bool engine_planner::mayReadItself(const engine& decode, const placement_request& ask, time_point now)
+bool engine_planner::canPrefillOnDecode(const engine& decode, const placement_request& request, time_point now)
 {
-    if (candidates(ask, wire::STAGE_PREFILL, now).empty())
+    if (candidates(request, wire::STAGE_PREFILL, now).empty())
         return true;
-    auto users = usersNow(now);
-    if (users[decode.row.report().id()].empty())
+    auto callsByEndpoint = memoryByEndpoint(now);
+    if (callsByEndpoint[decode.row.report().id()].empty())
         return true;
-    auto pending = std::max(duration::zero(), decode.promptsReadAt - now);
-    return pending + m_figures[ask.service].readingTime(ask.promptTokens) * decodeReadsSlower <= longestDecodeRead;
+    auto pending = std::max(duration::zero(), decode.prefillsDoneAt - now);
+    return pending + m_speedModels[request.service].prefillTime(request.promptTokens) * decodePrefillSlowdown <= maxDecodePrefillTime;
 }
 
-engine_placement engine_planner::place(const std::string& entry, const placement_request& ask, time_point now)
+engine_placement engine_planner::place(const std::string& entry, const placement_request& request, time_point now)
 {
-    auto* decode = pickDecode(ask, now);
+    auto* decode = chooseDecode(request, now);
     if (!decode)
         return { .full = true, .decode = {}, .prefill = {} };
-    auto* prefill = pickPrefill(ask, decode->row.report().data_centre(), now);
-    if (!prefill && !mayReadItself(*decode, ask, now))
+    auto* prefill = choosePrefill(request, decode->row.report().data_centre(), now);
+    if (!prefill && !canPrefillOnDecode(*decode, request, now))
         return { .full = true, .decode = {}, .prefill = {}, .prefillBusy = true };
-    engine_placement plan { .decode = decode->row.report().id(), .prefill = prefill ? prefill->row.report().id() : std::string() };
-    m_calls[entry][ask.callId] = { plan.decode, ask.promptTokens, ask.outputTokens, 0, now, now };
-    learnCosts(ask);
-    m_breaker.onSent(plan.decode, now);
-    m_breaker.onSent(plan.prefill, now);
-    auto& reader = prefill ? *prefill : *decode;
-    reader.promptsReadAt = std::max(now, reader.promptsReadAt) + m_figures[ask.service].readingTime(ask.promptTokens) * (prefill ? 1 : decodeReadsSlower);
-    return plan;
+    engine_placement placement { .decode = decode->row.report().id(), .prefill = prefill ? prefill->row.report().id() : std::string() };
+    m_calls[entry][request.callId] = { placement.decode, request.promptTokens, request.outputTokens, 0, now, now };
+    recordCallCost(request);
+    m_breaker.onSent(placement.decode, now);
+    m_breaker.onSent(placement.prefill, now);
+    auto& prefiller = prefill ? *prefill : *decode;
+    prefiller.prefillsDoneAt = std::max(now, prefiller.prefillsDoneAt) + m_speedModels[request.service].prefillTime(request.promptTokens) * (prefill ? 1 : decodePrefillSlowdown);
+    return placement;
 }
 
 void engine_planner::replaceCalls(const std::string& entry, const std::vector<wire::running_call>& calls, time_point now)
 {
-    auto& known = m_calls[entry];
-    std::map<std::uint64_t, placed_call> fresh;
+    auto& tracked = m_calls[entry];
+    std::map<std::uint64_t, placed_call> current;
     for (const auto& call : calls) {
-        auto before = known.find(call.id());
-        auto placedAt = before == known.end() ? now : before->second.placedAt;
-        auto& one = fresh[call.id()];
-        one = { call.endpoint(), call.prompt_tokens(), call.output_tokens(), call.generated(), now, placedAt };
-        learnFromEvents(one);
+        auto before = tracked.find(call.id());
+        auto placedAt = before == tracked.end() ? now : before->second.placedAt;
+        auto& reported = current[call.id()];
+        reported = { call.endpoint(), call.prompt_tokens(), call.output_tokens(), call.generated(), now, placedAt };
+        recordProgress(reported);
     }
-    for (auto& [id, call] : known) {
-        if (now - call.at <= listLag)
-            fresh.emplace(id, call);
+    for (auto& [id, call] : tracked) {
+        if (now - call.updatedAt <= maxPlacementDelay)
+            current.emplace(id, call);
     }
-    known = std::move(fresh);
+    tracked = std::move(current);
 }
 
-void engine_planner::release(const std::string& entry, std::uint64_t callId, const call_measurements& figures)
+void engine_planner::release(const std::string& entry, std::uint64_t callId, const call_measurements& measurements)
 {
     auto& calls = m_calls[entry];
     auto ended = calls.find(callId);
@@ -227,73 +228,73 @@
         return;
     auto engine = m_engines.find(ended->second.endpoint);
     if (engine != m_engines.end()) {
-        auto& known = m_figures[engine->second.row.report().service()];
-        known.learnReading(figures.prefillTokens, figures.prefillTime);
-        known.learnGeneration(figures.generatedTokens, figures.generationTime);
-        if (figures.firstEventDelay > milliseconds(0))
-            known.learnFirstEvent(figures.firstEventDelay);
+        auto& model = m_speedModels[engine->second.row.report().service()];
+        model.recordPrefill(measurements.prefillTokens, measurements.prefillTime);
+        model.recordGeneration(measurements.generatedTokens, measurements.generationTime);
+        if (measurements.firstEventDelay > milliseconds(0))
+            model.recordFirstEvent(measurements.firstEventDelay);
     }
-    m_breaker.onUndecided(ended->second.endpoint);
+    m_breaker.onInconclusive(ended->second.endpoint);
     calls.erase(ended);
 }
 
-void engine_planner::learnCosts(const placement_request& ask)
+void engine_planner::recordCallCost(const placement_request& request)
 {
-    const auto& figures = m_figures[ask.service];
-    if (!figures.known() || ask.memoryTokens == 0)
+    const auto& model = m_speedModels[request.service];
+    if (!model.hasEnoughSamples() || request.memoryTokens == 0)
         return;
-    // By its forecast: those that end first are short, and learnt from their ends, calls seem to cost little for a while.
-    auto output = expectedRest(ask.outputTokens, 0);
-    auto heldMs = output / figures.generatedTokensPerMs() + inMs(figures.timeToFirstEvent(0));
-    auto held = static_cast<double>(ask.promptTokens) + output / 2;
-    m_balances[ask.service].learn({ inMs(figures.readingTime(ask.promptTokens)), held * heldMs / static_cast<double>(ask.memoryTokens) });
+    // Use the estimated length: the first calls to complete are short ones, so costs by completed calls start too low.
+    auto output = expectedRemaining(request.outputTokens, 0);
+    auto heldMs = output / model.generatedTokensPerMs() + toMs(model.timeToFirstEvent(0));
+    auto held = static_cast<double>(request.promptTokens) + output / 2;
+    m_stageBalancers[request.service].recordCall({ toMs(model.prefillTime(request.promptTokens)), held * heldMs / static_cast<double>(request.memoryTokens) });
 }
 
-std::vector<engine_stage_load> engine_planner::balancedEngines(const std::string& service, time_point now) const
+std::vector<engine_stage_load> engine_planner::stageLoads(const std::string& service, time_point now) const
 {
-    auto users = usersNow(now);
+    auto callsByEndpoint = memoryByEndpoint(now);
     std::vector<engine_stage_load> engines;
-    for (const auto& [id, one] : m_engines) {
-        const auto& report = one.row.report();
-        bool counts = report.service() == service && report.stage() != wire::STAGE_ANY && report.state() == wire::ENDPOINT_SERVING && !one.row.silent();
-        if (!counts)
+    for (const auto& [id, candidate] : m_engines) {
+        const auto& report = candidate.row.report();
+        bool eligible = report.service() == service && report.stage() != wire::STAGE_ANY && report.state() == wire::ENDPOINT_SERVING && !candidate.row.silent();
+        if (!eligible)
             continue;
-        auto stage = isChanging(one, now) ? one.changesTo : report.stage();
-        auto calls = users.find(id);
-        auto load = stage == wire::STAGE_DECODE ? static_cast<double>(calls == users.end() ? 0 : calls->second.size())
-                                                : std::chrono::duration<double>(std::max(duration::zero(), one.promptsReadAt - now)).count();
-        engines.push_back({ id, report.data_centre(), stage, load, isChanging(one, now) });
+        auto stage = isChangingStage(candidate, now) ? candidate.targetStage : report.stage();
+        auto calls = callsByEndpoint.find(id);
+        auto load = stage == wire::STAGE_DECODE ? static_cast<double>(calls == callsByEndpoint.end() ? 0 : calls->second.size())
+                                                : std::chrono::duration<double>(std::max(duration::zero(), candidate.prefillsDoneAt - now)).count();
+        engines.push_back({ id, report.data_centre(), stage, load, isChangingStage(candidate, now) });
     }
     return engines;
 }
 
 std::optional<stage_change> engine_planner::chooseStageChange(time_point now)
 {
-    for (auto& [service, balance] : m_balances) {
-        if (auto change = balance.decide(balancedEngines(service, now), now))
+    for (auto& [service, balancer] : m_stageBalancers) {
+        if (auto change = balancer.chooseChange(stageLoads(service, now), now))
             return change;
     }
     return std::nullopt;
 }
 
-void engine_planner::startStageChange(const stage_change& change, time_point until)
+void engine_planner::startStageChange(const stage_change& change, time_point deadline)
 {
     auto found = m_engines.find(change.engine);
     if (found == m_engines.end())
         return;
-    found->second.changesTo = change.to;
-    found->second.changesUntil = until;
+    found->second.targetStage = change.to;
+    found->second.stageChangeDeadline = deadline;
 }
 
 void engine_planner::cancelStageChange(const std::string& engine, time_point now)
 {
-    /// An engine that can't be ordered now may be with the next heartbeat or so.
+    // An engine that refuses an order now may accept it after its next heartbeats.
     constexpr milliseconds pauseAfterFailure { 3000 };
     auto found = m_engines.find(engine);
     if (found == m_engines.end())
         return;
-    found->second.changesTo = wire::STAGE_ANY;
-    m_balances[found->second.row.report().service()].pause(now + pauseAfterFailure);
+    found->second.targetStage = wire::STAGE_ANY;
+    m_stageBalancers[found->second.row.report().service()].pause(now + pauseAfterFailure);
 }
 
 const wire::endpoint_report* engine_planner::findReport(const std::string& engine) const
@@ -302,10 +303,10 @@
     return found == m_engines.end() ? nullptr : &found->second.row.report();
 }
 
-void engine_planner::learnFromEvents(const placed_call& call)
+void engine_planner::recordProgress(const placed_call& call)
 {
     auto found = m_engines.find(call.endpoint);
-    if (call.generated > 0 && found != m_engines.end() && call.placedAt > found->second.failedAt)
+    if (call.generatedTokens > 0 && found != m_engines.end() && call.placedAt > found->second.failedAt)
         recordSuccess(call.endpoint);
 }
 
@@ -320,16 +321,16 @@
 void engine_planner::recordRefusal(const std::string& endpoint, time_point now)
 {
     auto found = m_engines.find(endpoint);
-    if (found == m_engines.end() || now < found->second.fullUntil)
+    if (found == m_engines.end() || now < found->second.backoffUntil)
         return;
-    auto doublings = std::min(found->second.refusals++, mostDoublings);
-    found->second.fullUntil = now + firstRefusalPause * (1 << doublings);
+    auto doublings = std::min(found->second.refusals++, maxBackoffDoublings);
+    found->second.backoffUntil = now + initialRefusalBackoff * (1 << doublings);
 }
 
 void engine_planner::recordFailure(const std::string& endpoint, time_point now)
 {
     auto found = m_engines.find(endpoint);
-    if (found == m_engines.end() || (found->second.failedAt != time_point {} && now - found->second.failedAt < oneMoment))
+    if (found == m_engines.end() || (found->second.failedAt != time_point {} && now - found->second.failedAt < failureMergeWindow))
         return;
     found->second.failedAt = now;
     m_breaker.onFailure(endpoint, now);
--- a/Source/scheduling/engine_planner.h
+++ b/Source/scheduling/engine_planner.h
@@ -13,51 +13,50 @@
 
 namespace pistachiolatch {
 
-/// A model call that needs endpoints.
+/// A model call that needs engines.
 struct placement_request {
-    /// Names the call within its entry.
+    /// Unique within the entry.
     std::uint64_t callId = 0;
     std::string service;
-    /// Where the asking entry is.
+    /// Data centre of the requesting entry.
     std::string dataCentre;
     std::uint64_t promptTokens = 0;
-    /// Tokens that the answer is expected to have.
+    /// Estimated output length in tokens.
     std::uint64_t outputTokens = 0;
     /// Memory of each endpoint of the service, in tokens.
     std::uint64_t memoryTokens = 0;
     /// Endpoints that this call has tried already.
     std::set<std::string> exclude;
-    /// Endpoints that failed at this entry lately; used only where no other serves at all.
+    /// Endpoints that recently failed at this entry; used only if no other endpoint is available.
     std::set<std::string> avoid;
 };
 
-/// What a call that ended tells of its engines' speed; zeros where it doesn't.
+/// Measurements of a completed call for the engine speed model. Fields that were not measured are zero.
 struct call_measurements {
-    /// Tokens that were generated, and the time that took.
     std::uint64_t generatedTokens = 0;
     milliseconds generationTime { 0 };
-    /// Prompt tokens that a prefill endpoint read, and the time until its answer.
+    /// Prompt tokens that a prefill endpoint processed, and the time until its response.
     std::uint64_t prefillTokens = 0;
     milliseconds prefillTime { 0 };
-    /// How long after the reading of the prompt the first event came.
+    /// Time from the end of the prefill to the first event.
     milliseconds firstEventDelay { 0 };
 };
 
-/// Where a model call goes. Without a prefill endpoint the decode endpoint reads the prompt itself.
+/// The engines chosen for a model call. Without a prefill engine the decode engine prefills the prompt itself.
 struct engine_placement {
-    /// Nothing can take the call now: no memory, or nothing that could read its prompt in time.
+    /// No engine can take the call now: either no memory is free, or no engine can prefill the prompt in time.
     bool full = false;
     std::string decode;
     std::string prefill;
-    /// Where it is full: whether there is memory, and only the prompt can't be read in time.
+    /// Set with `full` if memory is free and only the prefill engines are busy.
     bool prefillBusy = false;
 };
 
-/// Places model calls with one view of all endpoints. Load pattern: bursts at twice the usual rate fill the engines'
-/// memory. Entries that each choose by figures half a second old then overfill some engines while others have room; an
-/// engine that overflows puts a running request back and reads its whole prompt again, which costs as much as a new
-/// one and stops its stream. Here each call counts from the moment it is placed, by what it will hold as it grows.
-/// An entry's own list of its calls replaces what was noted for it, so that a lost message is mended by the next one.
+/// Places model calls with one view of all engines. Load pattern: bursts at twice the usual rate fill the engines'
+/// memory. Entries that choose independently by reports that are half a second old overfill some engines while others
+/// have room. An engine that runs out of memory preempts a request and prefills its whole prompt again, which costs as
+/// much as a new request and stalls the stream. So each call counts from its placement, with its projected memory. An
+/// entry's list of running calls replaces what was tracked for it, so that the next list corrects for a lost message.
 /// Pure; not thread-safe.
 class engine_planner {
 public:
@@ -66,85 +65,89 @@
     {
     }
 
-    /// Takes in what the directory knows of an endpoint.
+    /// Applies an endpoint's row of the directory.
     void updateEndpoint(const wire::endpoint_row& row);
-    /// Chooses endpoints and books them for the entry.
-    engine_placement place(const std::string& entry, const placement_request& ask, time_point now);
-    /// All calls that an entry has running, as of when it sent the list.
+    /// Chooses engines for a call and reserves them for the entry.
+    engine_placement place(const std::string& entry, const placement_request& request, time_point now);
+    /// Replaces the calls tracked for an entry by the list of its running calls.
     void replaceCalls(const std::string& entry, const std::vector<wire::running_call>& calls, time_point now);
-    /// A call ended. What it told of engines' health is noted after this.
-    void release(const std::string& entry, std::uint64_t callId, const call_measurements& figures = {});
-    /// An engine served a part of a call, or failed one. Load pattern: an engine that fails all calls, while its health
-    /// check is good, is always empty and so draws calls from every entry; each entry by itself learns of it only by its
-    /// own failures. Here the failures of all count, and after a few in a row it gets one call a second until one succeeds.
+    /// Removes a call that ended. Call this before recording the outcome for its engines.
+    void release(const std::string& entry, std::uint64_t callId, const call_measurements& measurements = {});
+    /// Records that an engine served part of a call or failed one. Load pattern: an engine that fails all calls while
+    /// its health check succeeds is always empty and so attracts calls from every entry, and each entry detects this
+    /// only by its own failures. Here failures count across entries; after a few in a row the engine gets one call per
+    /// second until one succeeds.
     void recordSuccess(const std::string& endpoint);
     void recordFailure(const std::string& endpoint, time_point now);
-    /// An engine refused a call as full. Load pattern: an entry loses power, and the engines go on with streams that nobody
-    /// reads and that this planner has forgotten; taken for the emptiest, such an engine draws every call and refuses it.
+    /// Records that an engine refused a call as full. Load pattern: after an entry's power loss the engines go on with
+    /// its streams, which nobody receives and this planner no longer tracks; such an engine seems the least loaded,
+    /// attracts every call and refuses it.
     void recordRefusal(const std::string& endpoint, time_point now);
     void removeEntry(const std::string& entry);
-    /// The change of an engine's stage that would let many more calls fit, if there is one. Precondition: the caller gives
-    /// the order for it, and says so by startStageChange().
+    /// A change of an engine's stage that would substantially raise capacity, if there is one. If the caller orders the
+    /// change, it must call startStageChange().
     std::optional<stage_change> chooseStageChange(time_point now);
-    /// The engine gets nothing until it has changed, or the time is over.
-    void startStageChange(const stage_change& change, time_point until);
-    /// The order came to nothing.
+    /// Excludes the engine from placement until it reports the new stage or the deadline passes.
+    void startStageChange(const stage_change& change, time_point deadline);
+    /// The order for the change failed: makes the engine available again.
     void cancelStageChange(const std::string& engine, time_point now);
-    /// What is known of an engine, or null.
+    /// The last report of an engine; null if it is unknown.
     const wire::endpoint_report* findReport(const std::string& engine) const;
-    /// How long a call takes from its placing to its first event where no prompt is before its own.
-    duration timeToFirstEvent(const placement_request& ask);
-    /// How many calls of the service are expected to end within a time, and leave their memory to others.
-    double expectedEnds(const std::string& service, duration within, time_point now) const;
-    /// The most tokens that the calls placed on an endpoint will hold.
+    /// Expected time from placement to the first event if no prompts are queued ahead.
+    duration timeToFirstEvent(const placement_request& request);
+    /// Expected number of calls of the service that complete, and free their memory, within that time.
+    double expectedCompletions(const std::string& service, duration within, time_point now) const;
+    /// Projected peak of the tokens held by the calls placed on an endpoint.
     std::uint64_t projectedTokens(const std::string& endpoint, time_point now) const;
 
 private:
     struct engine {
         wire::endpoint_row row;
-        /// When the prompts that were sent here are expected to be read.
-        time_point promptsReadAt {};
+        /// When the prompts sent to this engine are expected to be prefilled.
+        time_point prefillsDoneAt {};
         time_point failedAt {};
-        /// Refusals since it last served, and until when it is left alone for them.
+        /// Refusals since the engine last served a call, and the end of the backoff for them.
         unsigned refusals = 0;
-        time_point fullUntil {};
-        /// The stage that it changes to, and until when that is waited for.
-        wire::endpoint_stage changesTo = wire::STAGE_ANY;
-        time_point changesUntil {};
+        time_point backoffUntil {};
+        /// The stage that the engine changes to, and when the change times out.
+        wire::endpoint_stage targetStage = wire::STAGE_ANY;
+        time_point stageChangeDeadline {};
     };
     struct placed_call {
         std::string endpoint;
-        std::uint64_t prompt;
-        std::uint64_t output;
-        std::uint64_t generated;
-        /// When the figures were true.
-        time_point at;
+        std::uint64_t promptTokens;
+        std::uint64_t outputTokens;
+        std::uint64_t generatedTokens;
+        /// When `generatedTokens` was updated.
+        time_point updatedAt;
         time_point placedAt;
     };
-    using users_by_endpoint = std::map<std::string, std::vector<call_memory>>;
+    using memory_by_endpoint = std::map<std::string, std::vector<call_memory>>;
 
-    /// Events of a call tell that its engine is sound, unless the call is older than the engine's last failure.
-    void learnFromEvents(const placed_call& call);
-    const engine_speed_model& figuresAt(const std::string& endpoint) const;
-    call_memory userOf(const placed_call& call, time_point now) const;
-    users_by_endpoint usersNow(time_point now) const;
-    static bool isChanging(const engine& one, time_point now) { return one.changesTo != wire::STAGE_ANY && now < one.changesUntil; }
-    std::vector<engine_stage_load> balancedEngines(const std::string& service, time_point now) const;
-    void learnCosts(const placement_request& ask);
-    static bool serves(const engine& one, const placement_request& ask, wire::endpoint_stage stage);
-    std::vector<engine*> candidates(const placement_request& ask, wire::endpoint_stage stage, time_point now);
-    engine* pickDecode(const placement_request& ask, time_point now);
-    /// Whether a decode engine may read the prompt itself while the prefill engines are busy.
-    bool mayReadItself(const engine& decode, const placement_request& ask, time_point now);
-    engine* pickPrefill(const placement_request& ask, const std::string& nearTo, time_point now);
+    /// Takes the events of a call as a success of its engine, unless the call was placed before the engine's last
+    /// failure.
+    void recordProgress(const placed_call& call);
+    const engine_speed_model& speedModelOf(const std::string& endpoint) const;
+    call_memory memoryOf(const placed_call& call, time_point now) const;
+    memory_by_endpoint memoryByEndpoint(time_point now) const;
+    static bool isChangingStage(const engine& candidate, time_point now) { return candidate.targetStage != wire::STAGE_ANY && now < candidate.stageChangeDeadline; }
+    std::vector<engine_stage_load> stageLoads(const std::string& service, time_point now) const;
+    void recordCallCost(const placement_request& request);
+    static bool isEligible(const engine& candidate, const placement_request& request, wire::endpoint_stage stage);
+    std::vector<engine*> candidates(const placement_request& request, wire::endpoint_stage stage, time_point now);
+    engine* chooseDecode(const placement_request& request, time_point now);
+    /// Whether a decode engine may prefill the prompt itself while the prefill engines are busy.
+    bool canPrefillOnDecode(const engine& decode, const placement_request& request, time_point now);
+    engine* choosePrefill(const placement_request& request, const std::string& dataCentre, time_point now);
 
     std::mt19937_64 m_random;
     std::map<std::string, engine> m_engines;
     circuit_breaker m_breaker;
+    /// By entry and call id.
     std::map<std::string, std::map<std::uint64_t, placed_call>> m_calls;
     /// By service.
-    std::map<std::string, engine_speed_model> m_figures;
-    std::map<std::string, stage_balancer> m_balances;
+    std::map<std::string, engine_speed_model> m_speedModels;
+    std::map<std::string, stage_balancer> m_stageBalancers;
 };
 
 } // namespace pistachiolatch
--- a/Source/scheduling/engine_speed_model.h
+++ b/Source/scheduling/engine_speed_model.h
@@ -4,34 +4,34 @@
 
 namespace pistachiolatch {
 
-/// How fast the engines of a service are, learnt from calls that ended. Engines of one deployment read and generate ten
-/// times as fast as those of another; figures of either made the other's engines look empty or full.
+/// Estimates the speed of a service's engines from completed calls. Speeds differ tenfold between deployments, so fixed
+/// values make engines of some deployments look empty or full when they are not.
 /// Pure; not thread-safe.
 class engine_speed_model {
 public:
-    /// Takes in how long the answer to a question to read a prompt took. A part of that grows with the prompt and keeps the
-    /// engine busy; the rest passes for every prompt, while others are read.
-    void learnReading(std::uint64_t tokens, milliseconds took);
-    /// Takes in the tokens that a call generated, and in which time.
-    void learnGeneration(std::uint64_t tokens, milliseconds took);
-    /// Takes in how long after the reading of its prompt a call's first event came.
-    void learnFirstEvent(milliseconds afterReading);
+    /// Records how long a prefill request took. One part of that time grows with the prompt and keeps the engine busy;
+    /// the rest is a fixed overhead during which the engine prefills other prompts.
+    void recordPrefill(std::uint64_t tokens, milliseconds took);
+    /// Records how many tokens a call generated in which time.
+    void recordGeneration(std::uint64_t tokens, milliseconds took);
+    /// Records the time from the end of a call's prefill to its first event.
+    void recordFirstEvent(milliseconds afterPrefill);
 
-    /// Whether enough calls have ended for the figures to be more than beliefs.
-    bool known() const;
+    /// Whether enough calls have completed to replace the defaults.
+    bool hasEnoughSamples() const;
     double generatedTokensPerMs() const { return m_generatedTokensPerMs; }
-    /// How long an engine is busy with a prompt.
-    duration readingTime(std::uint64_t tokens) const;
-    /// How long after the question to read its prompt a call's first event comes, at engines with nothing before it.
+    /// How long a prompt keeps an engine busy.
+    duration prefillTime(std::uint64_t tokens) const;
+    /// Time from the prefill request to the call's first event on idle engines.
     duration timeToFirstEvent(std::uint64_t tokens) const;
 
 private:
-    /// Beliefs before the first calls have ended, of middling engines.
-    double m_readMsPerToken = 0.03;
-    double m_readMsForAny = 50;
+    /// The initial values are those of engines of medium speed.
+    double m_prefillMsPerToken = 0.03;
+    double m_prefillOverheadMs = 50;
     double m_generatedTokensPerMs = 0.5;
     double m_firstEventMs = 100;
-    /// Sums of a linear regression of time by tokens, in which older readings count ever less.
+    /// Exponentially decaying sums for a linear regression of time over tokens.
     struct weighted_sums {
         double weight = 0;
         double tokens = 0;
@@ -39,8 +39,8 @@
         double tokensTokens = 0;
         double tokensMs = 0;
     };
-    weighted_sums m_readings;
-    unsigned m_readingCount = 0;
+    weighted_sums m_prefillSums;
+    unsigned m_prefillCount = 0;
     unsigned m_generationCount = 0;
     unsigned m_firstEventCount = 0;
 };
--- a/Source/scheduling/memory_projection.cpp
+++ b/Source/scheduling/memory_projection.cpp
@@ -4,19 +4,19 @@
 
 namespace pistachiolatch {
 
-std::uint64_t peakMemory(std::vector<call_memory> users)
+std::uint64_t peakMemory(std::vector<call_memory> calls)
 {
-    // Memory only falls when a call ends, so it is highest just before one does.
-    std::sort(users.begin(), users.end(), [](const call_memory& left, const call_memory& right) { return left.remaining < right.remaining; });
+    // Memory is freed only when a call ends, so a peak lies just before the end of a call.
+    std::sort(calls.begin(), calls.end(), [](const call_memory& left, const call_memory& right) { return left.remaining < right.remaining; });
     std::uint64_t held = 0;
-    for (const auto& user : users)
-        held += user.held;
+    for (const auto& call : calls)
+        held += call.held;
     std::uint64_t peak = 0;
-    auto alive = users.size();
-    for (const auto& user : users) {
-        peak = std::max(peak, held + alive * user.remaining);
-        held -= user.held;
-        --alive;
+    auto active = calls.size();
+    for (const auto& call : calls) {
+        peak = std::max(peak, held + active * call.remaining);
+        held -= call.held;
+        --active;
     }
     return peak;
 }
--- a/Source/scheduling/output_estimator.cpp
+++ b/Source/scheduling/output_estimator.cpp
@@ -6,14 +6,14 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Weight of the caller's guess beside the usual length of the route's answers; the errors of both are alike.
-    constexpr double guessWeight = 0.45;
-    /// Share of the allowed output that answers use, in the middle, where nothing is known of a route.
-    constexpr double usualShare = 0.5;
-    /// Answers after which a route's own mean counts for more than the usual share.
-    constexpr double answersToTrust = 5;
-    /// Weight of a new answer in the mean once there are many, so that it follows a route whose answers change.
-    constexpr double newestWeight = 0.02;
+    /// Weight of the caller's hint against the estimate from the route's answers; the errors of both are similar.
+    constexpr double hintWeight = 0.45;
+    /// Median share of the allowed output that answers use, for routes without history.
+    constexpr double defaultShare = 0.5;
+    /// Number of answers after which a route's own mean outweighs the default.
+    constexpr double priorSamples = 5;
+    /// Minimum weight of a new answer in the mean, so that the mean follows changes in a route's answers.
+    constexpr double minSampleWeight = 0.02;
 
     double normalTail(double x)
     {
@@ -21,47 +21,48 @@
     }
 }
 
-std::uint64_t output_estimator::estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const
+std::uint64_t output_estimator::estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> hint) const
 {
     if (allowed == 0)
         return 0;
-    double usual = std::log(usualShare * static_cast<double>(allowed));
-    auto known = m_routes.find(route);
-    if (known != m_routes.end()) {
-        double trust = known->second.answers / (known->second.answers + answersToTrust);
-        usual += trust * (known->second.meanLog - usual);
+    double logLength = std::log(defaultShare * static_cast<double>(allowed));
+    auto history = m_routes.find(route);
+    if (history != m_routes.end()) {
+        double trust = history->second.samples / (history->second.samples + priorSamples);
+        logLength += trust * (history->second.logMean - logLength);
     }
-    if (guess && *guess > 0)
-        usual += guessWeight * (std::log(static_cast<double>(*guess)) - usual);
-    return std::min(allowed, static_cast<std::uint64_t>(std::exp(usual)));
+    if (hint && *hint > 0)
+        logLength += hintWeight * (std::log(static_cast<double>(*hint)) - logLength);
+    return std::min(allowed, static_cast<std::uint64_t>(std::exp(logLength)));
 }
 
 void output_estimator::record(const std::string& route, std::uint64_t generated)
 {
     if (generated == 0)
         return;
-    auto& usual = m_routes[route];
-    ++usual.answers;
-    usual.meanLog += std::max(newestWeight, 1.0 / usual.answers) * (std::log(static_cast<double>(generated)) - usual.meanLog);
+    auto& history = m_routes[route];
+    ++history.samples;
+    history.logMean += std::max(minSampleWeight, 1.0 / history.samples) * (std::log(static_cast<double>(generated)) - history.logMean);
 }
 
-double expectedRest(std::uint64_t forecast, std::uint64_t generated)
+double expectedRemaining(std::uint64_t estimated, std::uint64_t generated)
 {
-    if (forecast == 0)
+    if (estimated == 0)
         return 0;
-    // The mean of a log-normal length beyond what is there already, less that.
-    double median = static_cast<double>(forecast);
-    double mean = median * std::exp(forecastSpread * forecastSpread / 2);
+    // Mean of the log-normal length distribution conditional on exceeding the tokens generated, minus those tokens.
+    double median = static_cast<double>(estimated);
+    double mean = median * std::exp(logLengthStdDev * logLengthStdDev / 2);
     if (generated == 0)
         return mean;
-    double have = static_cast<double>(generated);
-    double distance = std::log(have / median) / forecastSpread;
-    // Beyond three times the spread both tails are too thin to divide; the rest is then about this part of what is there.
-    constexpr double farOut = 3;
-    constexpr double restFarOut = 0.12;
-    if (distance > farOut)
-        return restFarOut * have;
-    return mean * normalTail(distance - forecastSpread) / normalTail(distance) - have;
+    double length = static_cast<double>(generated);
+    double distance = std::log(length / median) / logLengthStdDev;
+    // Beyond three standard deviations both tails are too small to divide; the remainder is then about this share of
+    // the tokens generated.
+    constexpr double maxTailDistance = 3;
+    constexpr double tailRemainingShare = 0.12;
+    if (distance > maxTailDistance)
+        return tailRemainingShare * length;
+    return mean * normalTail(distance - logLengthStdDev) / normalTail(distance) - length;
 }
 
 } // namespace pistachiolatch
--- a/Source/scheduling/output_estimator.h
+++ b/Source/scheduling/output_estimator.h
@@ -7,33 +7,33 @@
 
 namespace pistachiolatch {
 
-/// The spread of the true length of an answer around its forecast, as the standard deviation of its logarithm. Guesses or
-/// past answers alone err more.
-constexpr double forecastSpread = 0.38;
+/// Standard deviation of the logarithm of the actual output length around its estimate. Hints alone and past answers
+/// alone have larger errors.
+constexpr double logLengthStdDev = 0.38;
 
-/// Forecasts how many tokens an answer will have, from the caller's guess and from what earlier answers of its route had.
-/// Load pattern: engines are full, and one that holds a few answers longer than forecast puts a stream back and reads its
-/// prompt again while all its other streams stand still. A guess is right in the middle and often far off, and so is the
-/// usual length; together they err less.
+/// Estimates the output length of a call from the caller's hint and from earlier answers of its route. Load pattern:
+/// on a full engine a few answers that are longer than estimated cause preemption; the prompt of the preempted stream
+/// is prefilled again while all other streams of the engine stand still. Hints are right in the median but often far
+/// off, and so is the route's mean; the combination has a smaller error than either.
 /// Pure; not thread-safe.
 class output_estimator {
 public:
-    /// The median of the tokens that an answer will have. Units: tokens. The result is at most what is allowed.
-    std::uint64_t estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> guess) const;
-    /// Takes in an answer that ended whole.
+    /// Median of the expected output length in tokens, at most the number allowed.
+    std::uint64_t estimate(const std::string& route, std::uint64_t allowed, std::optional<std::uint64_t> hint) const;
+    /// Records the length of a complete answer.
     void record(const std::string& route, std::uint64_t generated);
 
 private:
-    struct usual_length {
-        double meanLog = 0;
-        unsigned answers = 0;
+    struct route_history {
+        double logMean = 0;
+        unsigned samples = 0;
     };
-    std::map<std::string, usual_length> m_routes;
+    std::map<std::string, route_history> m_routes;
 };
 
-/// What an answer with that forecast has yet to generate, in the mean, after it has generated so much. Answers that
-/// outgrew their forecast have more to come than a fixed rest: the longer they have run, the longer they will.
-/// Pure. Thread safety: any thread. Units: tokens.
-double expectedRest(std::uint64_t forecast, std::uint64_t generated);
+/// Mean number of tokens that an answer with the estimated length still has to generate after those generated so far.
+/// For answers that exceed their estimate this grows with what they have generated; a constant would be too low.
+/// Pure. Thread safety: any thread.
+double expectedRemaining(std::uint64_t estimated, std::uint64_t generated);
 
 } // namespace pistachiolatch
--- a/Source/scheduling/placement_policies.cpp
+++ b/Source/scheduling/placement_policies.cpp
@@ -8,16 +8,16 @@
     constexpr const char* prefillRole = "prefill";
     constexpr const char* decodeRole = "decode";
     constexpr const char* serviceRole = "service";
-    /// Prompts that may stand on one prefill engine: one that runs and one behind it, so that the engine never idles
-    /// between two and no prompt waits where another engine may be free sooner.
-    constexpr std::uint32_t mostPromptsPerEngine = 2;
+    /// Prompts on one prefill engine: one running and one queued, so that the engine isn't idle between two and no
+    /// prompt waits there while another engine may be free sooner.
+    constexpr std::uint32_t maxPromptsPerEngine = 2;
 
     bool isServiceCall(const pool_request& request)
     {
         return request.place.shard().rfind("service:", 0) == 0;
     }
 
-    /// The service endpoint with the fewest own calls, among those with room when `bounded`.
+    /// The service endpoint with the fewest calls of this pool; if `bounded`, only among those with a free slot.
     std::optional<chosen_endpoints> chooseService(const pool_endpoints& endpoints, const std::set<std::string>& exclude, bool bounded, bool breaker, time_point now)
     {
         std::optional<chosen_endpoints> best;
@@ -42,15 +42,15 @@
     std::optional<prefill_choice> choosePrefill(const pool_endpoints& endpoints, const pool_request& request, const std::set<std::string>& exclude, bool breaker, time_point now)
     {
         auto usable = endpoints.usable(prefillRole, exclude, breaker, now);
-        auto withLong = static_cast<std::size_t>(std::count_if(usable.begin(), usable.end(), [&](const auto* endpoint) { return endpoints.loadOf(endpoint->id()).longPrompts > 0; }));
+        auto enginesWithLongPrompts = static_cast<std::size_t>(std::count_if(usable.begin(), usable.end(), [&](const auto* endpoint) { return endpoints.loadOf(endpoint->id()).longPrompts > 0; }));
         bool isLong = request.place.prompt_tokens() > longPromptTokens;
         std::optional<prefill_choice> best;
         for (const auto* endpoint : usable) {
             const auto& load = endpoints.loadOf(endpoint->id());
-            if (load.requests >= mostPromptsPerEngine)
+            if (load.requests >= maxPromptsPerEngine)
                 continue;
-            // One engine stays clear of long prompts, or short ones would stand behind them on every engine.
-            if (isLong && load.longPrompts == 0 && usable.size() > 1 && withLong + 1 >= usable.size())
+            // Keep one engine free of long prompts, or short ones would queue behind them on every engine.
+            if (isLong && load.longPrompts == 0 && usable.size() > 1 && enginesWithLongPrompts + 1 >= usable.size())
                 continue;
             auto ends = std::max(now, load.busyUntil) + pool_endpoints::prefillTime(*endpoint, request.place.prompt_tokens(), request.place.prefix());
             if (!best || ends < best->ends)
@@ -75,10 +75,11 @@
         auto ready = std::max(prefill->ends, load.busyUntil) + pool_endpoints::transferTime(*prefill->endpoint, *endpoint, request.place.prompt_tokens());
         if (!endpoints.fitsAt(*endpoint, request.pieces(), ready))
             continue;
-        // The link that is free first; among equals the engine with the fewest requests, which also steps fastest.
-        constexpr milliseconds sameMoment { 5 };
-        bool sooner = !best || ready + sameMoment < bestReady;
-        bool lighter = best && ready < bestReady + sameMoment && load.requests < bestRequests;
+        // Prefer the earliest free link; among equals the engine with the fewest requests, which also has the fastest
+        // steps.
+        constexpr milliseconds readyTolerance { 5 };
+        bool sooner = !best || ready + readyTolerance < bestReady;
+        bool lighter = best && ready < bestReady + readyTolerance && load.requests < bestRequests;
         if (!sooner && !lighter)
             continue;
         best = chosen_endpoints { prefill->endpoint->id(), endpoint->id(), ready };
@@ -90,10 +91,10 @@
 
 std::optional<chosen_endpoints> round_robin_policy::choose(const pool_endpoints& endpoints, const pool_request& request, const std::set<std::string>& exclude, bool breaker, time_point now)
 {
-    ++m_turn;
+    ++m_next;
     auto pick = [&](const char* role) {
         auto usable = endpoints.usable(role, exclude, breaker, now);
-        return usable.empty() ? std::string() : usable[m_turn % usable.size()]->id();
+        return usable.empty() ? std::string() : usable[m_next % usable.size()]->id();
     };
     chosen_endpoints chosen;
     chosen.decode = pick(isServiceCall(request) ? serviceRole : decodeRole);
--- a/Source/scheduling/placement_policies.h
+++ b/Source/scheduling/placement_policies.h
@@ -7,37 +7,38 @@
 
 namespace pistachiolatch {
 
-/// Chooses endpoints for a request, or none while it must wait.
+/// Chooses the endpoints for a request, or none while the request must wait.
 template <typename T>
 concept placement_policy = requires(T policy, const pool_endpoints& endpoints, const pool_request& request, const std::set<std::string>& exclude, bool breaker, time_point now)
 {
     {
         policy.choose(endpoints, request, exclude, breaker, now)
         } -> std::same_as<std::optional<chosen_endpoints>>;
-    /// Whether it holds requests back until endpoints have room.
+    /// Whether it queues requests until endpoints have capacity.
     {
         T::queues
         } -> std::convertible_to<bool>;
 };
 
-/// Reserves the decode slot, memory and link before the prefill starts, because a prefill that finds no slot is lost.
+/// Reserves the decode slot, memory and link before the prefill starts, because a prefill without a free slot is
+/// wasted.
 class reserve_policy {
 public:
     static constexpr bool queues = true;
     std::optional<chosen_endpoints> choose(const pool_endpoints& endpoints, const pool_request& request, const std::set<std::string>& exclude, bool breaker, time_point now);
 };
 
-/// Baseline: the next endpoint of each role in turn, at once.
+/// Baseline: the next endpoint of each role in turn, without queueing.
 class round_robin_policy {
 public:
     static constexpr bool queues = false;
     std::optional<chosen_endpoints> choose(const pool_endpoints& endpoints, const pool_request& request, const std::set<std::string>& exclude, bool breaker, time_point now);
 
 private:
-    std::size_t m_turn = 0;
+    std::size_t m_next = 0;
 };
 
-/// Baseline: the endpoint of each role whose last report showed the least load, at once.
+/// Baseline: the endpoint of each role with the least load in its last report, without queueing.
 class least_reported_policy {
 public:
     static constexpr bool queues = false;
@@ -48,7 +49,7 @@
 
 using policy_variant = std::variant<reserve_policy, round_robin_policy, least_reported_policy>;
 
-/// The policy with that name, or nothing.
+/// Creates the policy of that name; nullopt if there is none.
 std::optional<policy_variant> makePolicy(const std::string& name);
 
 } // namespace pistachiolatch
--- a/Source/scheduling/pool.h
+++ b/Source/scheduling/pool.h
@@ -11,48 +11,48 @@
 
 namespace pistachiolatch {
 
-/// All decisions for one pool (a model or a service): one holder at a time, so that entries don't race each other
-/// onto one endpoint. Pure: takes messages and time, returns decisions. Not thread-safe.
+/// Makes all placement decisions of one pool (a model or a service). A pool has one owner at a time, so that entries
+/// don't compete for the same endpoint. Pure: takes messages and times, returns decisions. Not thread-safe.
 class pool {
 public:
     pool(std::string shard, pool_kind kind, pool_settings settings, pool_targets targets);
 
     void setTargets(pool_targets targets) { m_targets = targets; }
-    /// Takes an endpoint's announcement. Returns crash reports that became certain by it.
+    /// Applies an endpoint's announcement. Returns the crash reports that became certain by it.
     std::vector<wire::crash_report> handleAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now);
-    /// Takes a request that wants endpoints. Precondition: entry, weight and share are filled in.
+    /// Queues a request for endpoints, or refuses it. Precondition: entry, weight and share are filled in.
     void submit(pool_request request, time_point now);
-    /// Takes a stage that a request reached.
+    /// Records that a request reached a stage.
     void handleProgress(const wire::progress& report, time_point now);
-    /// Takes what an entry holds, after this process took the pool over.
+    /// Restores the reservations that an entry holds, after this process took over the pool.
     void restoreReservations(const wire::held_report& report, const std::string& entryName, std::uint64_t entryIncarnation, time_point now);
-    /// Takes the report that an endpoint broke off while it ran a request.
+    /// Records that the connection to an endpoint broke while it ran a request.
     void handleCrashReport(const wire::crash_report& report, time_point now);
-    std::uint32_t crashCount(std::uint64_t fingerprint) const { return m_suspects.crashCount(fingerprint); }
-    void replacePoisonMarks(const std::vector<wire::poison_mark>& marks) { m_suspects.replaceMarks(marks); }
-    /// Forgets what entries that are not live held or asked for.
+    std::uint32_t crashCount(std::uint64_t fingerprint) const { return m_crashes.crashCount(fingerprint); }
+    void replacePoisonMarks(const std::vector<wire::poison_mark>& marks) { m_crashes.replaceMarks(marks); }
+    /// Removes the reservations and queued requests of entries that are not live.
     void removeDeadEntries(const std::vector<wire::live_process>& live, time_point now);
-    /// Endpoints that fell silent since the last call become unusable; returns crash reports that became certain.
+    /// Marks endpoints that fell silent as unusable. Returns the crash reports that became certain.
     std::vector<wire::crash_report> expireEndpoints(time_point now);
-    /// The decisions that are due now.
+    /// Places or refuses queued requests and returns all new decisions.
     std::vector<pool_decision> schedule(time_point now);
 
     const pool_endpoints& endpoints() const { return m_endpoints; }
     const std::string& shard() const { return m_shard; }
     std::size_t waiting() const { return m_queue.size(); }
     std::uint64_t wastedPrefills() const { return m_wastedPrefills; }
-    /// One line for operators.
+    /// One line of status for operators.
     std::string describe() const;
 
 private:
     void refuse(const pool_request& request, reason why, milliseconds retryAfter);
-    void answer(const pool_request& request, const chosen_endpoints& chosen);
-    bool refusedAtOnce(const pool_request& request, time_point now);
-    bool mustWait(const pool_request& request) const;
+    void accept(const pool_request& request, const chosen_endpoints& chosen);
+    bool refuseOnArrival(const pool_request& request, time_point now);
+    bool isHeldBack(const pool_request& request) const;
     bool willBeLate(const pool_request& request, const chosen_endpoints& chosen) const;
     bool tryPlace(const pool_request& request, time_point now);
     milliseconds expectedWait(const pool_request& request, time_point now) const;
-    void dropLate(time_point now);
+    void refuseExpired(time_point now);
     bool hasEndpoints(const std::set<std::string>& exclude, time_point now) const;
 
     std::string m_shard;
@@ -63,7 +63,7 @@
     pool_endpoints m_endpoints;
     fair_queue m_queue;
     retry_budget m_budget;
-    crash_tracker m_suspects;
+    crash_tracker m_crashes;
     std::vector<pool_decision> m_decisions;
     std::uint64_t m_wastedPrefills = 0;
 };
--- a/Source/scheduling/pool_endpoints.cpp
+++ b/Source/scheduling/pool_endpoints.cpp
@@ -9,26 +9,26 @@
     constexpr std::uint32_t fallbackStepMicros = 40000;
     constexpr std::uint32_t fallbackLinkMbps = 10000;
     constexpr std::uint32_t fallbackKvBytes = 20000;
-    /// Over the upper bound of a request's end, before its booking counts as leaked.
-    constexpr auto leakAllowance = std::chrono::seconds(30);
+    /// Time after the upper bound of a request's end when its reservation counts as leaked.
+    constexpr auto leakTimeout = std::chrono::seconds(30);
     constexpr milliseconds requestOverhead { 2 };
 
-    std::uint32_t orElse(std::uint32_t value, std::uint32_t fallback)
+    std::uint32_t valueOr(std::uint32_t value, std::uint32_t fallback)
     {
         return value > 0 ? value : fallback;
     }
 }
 
-std::string pool_endpoints::keyOf(const std::string& requestId, std::uint32_t attempt)
+std::string pool_endpoints::reservationKey(const std::string& requestId, std::uint32_t attempt)
 {
     return fmt::format("{}#{}", requestId, attempt);
 }
 
-std::vector<const wire::endpoint_announcement*> pool_endpoints::usable(const std::string& role, const std::set<std::string>& exclude, bool withBreaker, time_point now) const
+std::vector<const wire::endpoint_announcement*> pool_endpoints::usable(const std::string& role, const std::set<std::string>& exclude, bool useBreaker, time_point now) const
 {
     auto endpoints = m_table.serving();
     std::erase_if(endpoints, [&](const auto* endpoint) {
-        return endpoint->role() != role || exclude.count(endpoint->id()) || (withBreaker && !m_breaker.allows(endpoint->id(), now));
+        return endpoint->role() != role || exclude.count(endpoint->id()) || (useBreaker && !m_breaker.allows(endpoint->id(), now));
     });
     return endpoints;
 }
@@ -42,7 +42,7 @@
 
 milliseconds pool_endpoints::prefillTime(const wire::endpoint_announcement& endpoint, std::uint32_t promptTokens, std::uint64_t prefix)
 {
-    auto rate = orElse(endpoint.prefill_tokens_per_s(), fallbackPrefillRate);
+    auto rate = valueOr(endpoint.prefill_tokens_per_s(), fallbackPrefillRate);
     const auto& prefixes = endpoint.cached_prefixes();
     bool cached = prefix != 0 && std::find(prefixes.begin(), prefixes.end(), prefix) != prefixes.end();
     auto tokens = cached ? promptTokens - std::min(promptTokens, tokensPerPiece) : promptTokens;
@@ -51,9 +51,9 @@
 
 milliseconds pool_endpoints::transferTime(const wire::endpoint_announcement& source, const wire::endpoint_announcement& target, std::uint32_t promptTokens)
 {
-    auto kvBytes = orElse(source.kv_bytes_per_token(), fallbackKvBytes);
-    auto sourceMbps = orElse(source.link_mbps(), fallbackLinkMbps);
-    auto targetMbps = orElse(target.link_mbps(), fallbackLinkMbps);
+    auto kvBytes = valueOr(source.kv_bytes_per_token(), fallbackKvBytes);
+    auto sourceMbps = valueOr(source.link_mbps(), fallbackLinkMbps);
+    auto targetMbps = valueOr(target.link_mbps(), fallbackLinkMbps);
     constexpr std::uint64_t bitsPerByte = 8;
     auto bits = bitsPerByte * kvBytes * promptTokens;
     return requestOverhead + milliseconds(bits / 1000 / std::min(sourceMbps, targetMbps));
@@ -61,18 +61,18 @@
 
 void pool_endpoints::reserve(const pool_request& request, const chosen_endpoints& chosen, time_point now)
 {
-    reservation booked;
-    booked.requestId = request.place.request_id();
-    booked.attempt = request.place.attempt();
-    booked.organisation = request.place.organisation();
-    booked.entryName = request.entryName;
-    booked.entryIncarnation = request.entryIncarnation;
-    booked.endpoints = chosen;
-    booked.promptTokens = request.place.prompt_tokens();
-    booked.maxTokens = request.place.max_tokens();
-    booked.pieces = request.pieces();
-    booked.fingerprint = request.place.fingerprint();
-    booked.placedAt = now;
+    reservation reserved;
+    reserved.requestId = request.place.request_id();
+    reserved.attempt = request.place.attempt();
+    reserved.organisation = request.place.organisation();
+    reserved.entryName = request.entryName;
+    reserved.entryIncarnation = request.entryIncarnation;
+    reserved.endpoints = chosen;
+    reserved.promptTokens = request.place.prompt_tokens();
+    reserved.maxTokens = request.place.max_tokens();
+    reserved.pieces = request.pieces();
+    reserved.fingerprint = request.place.fingerprint();
+    reserved.placedAt = now;
     static const wire::endpoint_announcement unknown;
     auto endpointOf = [this](const std::string& id) -> const wire::endpoint_announcement& {
         const auto* endpoint = m_table.find(id);
@@ -80,111 +80,110 @@
     };
     if (!chosen.prefill.empty()) {
         auto starts = std::max(now, loadOf(chosen.prefill).busyUntil);
-        booked.prefillEnds = starts + prefillTime(endpointOf(chosen.prefill), booked.promptTokens, request.place.prefix());
+        reserved.prefillEnds = starts + prefillTime(endpointOf(chosen.prefill), reserved.promptTokens, request.place.prefix());
     } else {
-        booked.prefillEnds = now;
+        reserved.prefillEnds = now;
     }
-    auto linkFree = std::max(booked.prefillEnds, m_kind == pool_kind::Model ? loadOf(chosen.decode).busyUntil : now);
-    booked.transferEnds = chosen.prefill.empty() ? linkFree : linkFree + transferTime(endpointOf(chosen.prefill), endpointOf(chosen.decode), booked.promptTokens);
-    auto step = std::chrono::microseconds(orElse(endpointOf(chosen.decode).step_us(), fallbackStepMicros));
-    booked.decodeEnds = booked.transferEnds + step * (booked.maxTokens + 1);
+    auto linkFree = std::max(reserved.prefillEnds, m_kind == pool_kind::Model ? loadOf(chosen.decode).busyUntil : now);
+    reserved.transferEnds = chosen.prefill.empty() ? linkFree : linkFree + transferTime(endpointOf(chosen.prefill), endpointOf(chosen.decode), reserved.promptTokens);
+    auto step = std::chrono::microseconds(valueOr(endpointOf(chosen.decode).step_us(), fallbackStepMicros));
+    reserved.decodeEnds = reserved.transferEnds + step * (reserved.maxTokens + 1);
     m_breaker.onSent(chosen.decode, now);
     if (!chosen.prefill.empty())
         m_breaker.onSent(chosen.prefill, now);
-    adopt(std::move(booked), now);
+    addReservation(std::move(reserved), now);
 }
 
-void pool_endpoints::adopt(reservation held, time_point now)
+void pool_endpoints::addReservation(reservation added, time_point now)
 {
-    auto key = keyOf(held.requestId, held.attempt);
+    auto key = reservationKey(added.requestId, added.attempt);
     if (m_reservations.count(key))
         return;
-    if (!held.endpoints.prefill.empty() && !held.prefilled) {
-        auto& prefill = m_loads[held.endpoints.prefill];
+    if (!added.endpoints.prefill.empty() && !added.prefilled) {
+        auto& prefill = m_loads[added.endpoints.prefill];
         ++prefill.requests;
-        prefill.busyUntil = std::max(prefill.busyUntil, held.prefillEnds);
-        prefill.longPrompts += held.promptTokens > longPromptTokens ? 1 : 0;
+        prefill.busyUntil = std::max(prefill.busyUntil, added.prefillEnds);
+        prefill.longPrompts += added.promptTokens > longPromptTokens ? 1 : 0;
     }
-    auto& decode = m_loads[held.endpoints.decode];
+    auto& decode = m_loads[added.endpoints.decode];
     ++decode.requests;
-    decode.pieces += held.pieces;
-    decode.busyUntil = std::max(decode.busyUntil, held.transferEnds);
-    held.decodeEnds = std::max(held.decodeEnds, now);
-    m_byDecode[held.endpoints.decode].push_back(key);
-    ++m_byOrganisation[held.organisation];
-    m_reservations.emplace(std::move(key), std::move(held));
+    decode.pieces += added.pieces;
+    decode.busyUntil = std::max(decode.busyUntil, added.transferEnds);
+    added.decodeEnds = std::max(added.decodeEnds, now);
+    m_reservationsByDecode[added.endpoints.decode].push_back(key);
+    ++m_inFlightByOrganisation[added.organisation];
+    m_reservations.emplace(std::move(key), std::move(added));
 }
 
-void pool_endpoints::releasePrefill(const reservation& booked, time_point now)
+void pool_endpoints::releasePrefill(const reservation& reserved, time_point now)
 {
-    if (booked.prefilled || booked.endpoints.prefill.empty())
+    if (reserved.prefilled || reserved.endpoints.prefill.empty())
         return;
-    auto& prefill = m_loads[booked.endpoints.prefill];
+    auto& prefill = m_loads[reserved.endpoints.prefill];
     --prefill.requests;
-    prefill.longPrompts -= booked.promptTokens > longPromptTokens ? 1 : 0;
-    // The prediction is corrected by what happened: an empty engine is free now, and one that ran late
-    // pushes what follows on it.
+    prefill.longPrompts -= reserved.promptTokens > longPromptTokens ? 1 : 0;
+    // Correct the prediction by the actual end: an empty engine is free now, and a late prefill delays those behind it.
     if (prefill.requests == 0)
         prefill.busyUntil = now;
     else
-        prefill.busyUntil += std::max(now, booked.prefillEnds) - booked.prefillEnds;
+        prefill.busyUntil += std::max(now, reserved.prefillEnds) - reserved.prefillEnds;
 }
 
 const reservation* pool_endpoints::find(const std::string& requestId, std::uint32_t attempt) const
 {
-    auto found = m_reservations.find(keyOf(requestId, attempt));
+    auto found = m_reservations.find(reservationKey(requestId, attempt));
     return found == m_reservations.end() ? nullptr : &found->second;
 }
 
-std::optional<reservation> pool_endpoints::progress(const std::string& requestId, std::uint32_t attempt, wire::progress_stage stage, time_point now)
+std::optional<reservation> pool_endpoints::updateStage(const std::string& requestId, std::uint32_t attempt, wire::progress_stage stage, time_point now)
 {
-    auto found = m_reservations.find(keyOf(requestId, attempt));
+    auto found = m_reservations.find(reservationKey(requestId, attempt));
     if (found == m_reservations.end())
         return std::nullopt;
-    auto& booked = found->second;
-    booked.stage = stage;
+    auto& reserved = found->second;
+    reserved.stage = stage;
     if (stage == wire::STAGE_PREFILLED) {
-        releasePrefill(booked, now);
-        booked.prefilled = true;
-        return booked;
+        releasePrefill(reserved, now);
+        reserved.prefilled = true;
+        return reserved;
     }
     if (stage == wire::STAGE_TRANSFERRED) {
-        auto shift = now - booked.transferEnds;
-        booked.transferEnds = now;
-        booked.decodeEnds += shift;
-        return booked;
+        auto shift = now - reserved.transferEnds;
+        reserved.transferEnds = now;
+        reserved.decodeEnds += shift;
+        return reserved;
     }
-    auto ended = booked;
+    auto ended = reserved;
     release(ended, now);
     m_reservations.erase(found);
     return ended;
 }
 
-void pool_endpoints::release(const reservation& booked, time_point now)
+void pool_endpoints::release(const reservation& reserved, time_point now)
 {
-    releasePrefill(booked, now);
-    auto& decode = m_loads[booked.endpoints.decode];
+    releasePrefill(reserved, now);
+    auto& decode = m_loads[reserved.endpoints.decode];
     --decode.requests;
-    decode.pieces -= booked.pieces;
+    decode.pieces -= reserved.pieces;
     if (decode.requests == 0)
         decode.busyUntil = std::min(decode.busyUntil, now);
-    auto& keys = m_byDecode[booked.endpoints.decode];
-    std::erase(keys, keyOf(booked.requestId, booked.attempt));
-    auto organisation = m_byOrganisation.find(booked.organisation);
-    if (organisation != m_byOrganisation.end() && --organisation->second == 0)
-        m_byOrganisation.erase(organisation);
+    auto& keys = m_reservationsByDecode[reserved.endpoints.decode];
+    std::erase(keys, reservationKey(reserved.requestId, reserved.attempt));
+    auto organisation = m_inFlightByOrganisation.find(reserved.organisation);
+    if (organisation != m_inFlightByOrganisation.end() && --organisation->second == 0)
+        m_inFlightByOrganisation.erase(organisation);
 }
 
-void pool_endpoints::sweep(const std::vector<wire::live_process>& live, time_point now)
+void pool_endpoints::removeStaleReservations(const std::vector<wire::live_process>& live, time_point now)
 {
-    auto alive = [&](const reservation& booked) {
+    auto alive = [&](const reservation& reserved) {
         return std::any_of(live.begin(), live.end(), [&](const auto& process) {
-            return process.kind() == wire::PROCESS_ENTRY && process.name() == booked.entryName && process.incarnation() == booked.entryIncarnation;
+            return process.kind() == wire::PROCESS_ENTRY && process.name() == reserved.entryName && process.incarnation() == reserved.entryIncarnation;
         });
     };
     for (auto it = m_reservations.begin(); it != m_reservations.end();) {
-        // A lost end report must not hold a slot for ever; the entry that sent it may also be gone.
-        bool leaked = now > it->second.decodeEnds + leakAllowance;
+        // A lost report of the end or a lost entry must not hold the slot forever.
+        bool leaked = now > it->second.decodeEnds + leakTimeout;
         if (alive(it->second) && !leaked) {
             ++it;
             continue;
@@ -196,22 +195,22 @@
 
 bool pool_endpoints::fitsAt(const wire::endpoint_announcement& endpoint, std::uint32_t pieces, time_point at) const
 {
-    const auto& held = loadOf(endpoint.id());
-    auto requests = held.requests;
-    auto used = held.pieces;
+    const auto& current = loadOf(endpoint.id());
+    auto requests = current.requests;
+    auto used = current.pieces;
     auto hasRoom = [&] {
         bool memoryFree = endpoint.memory_pieces() == 0 || used + pieces <= endpoint.memory_pieces();
         return requests < endpoint.slots() && memoryFree;
     };
-    auto running = m_byDecode.find(endpoint.id());
-    if (hasRoom() || running == m_byDecode.end())
+    auto running = m_reservationsByDecode.find(endpoint.id());
+    if (hasRoom() || running == m_reservationsByDecode.end())
         return hasRoom();
     for (const auto& key : running->second) {
-        const auto& booked = m_reservations.at(key);
-        if (booked.decodeEnds > at)
+        const auto& reserved = m_reservations.at(key);
+        if (reserved.decodeEnds > at)
             continue;
         --requests;
-        used -= booked.pieces;
+        used -= reserved.pieces;
     }
     return hasRoom();
 }
@@ -220,18 +219,18 @@
 {
     double rate = 0;
     for (const auto* endpoint : usable("prefill", {}, true, now))
-        rate += orElse(endpoint->prefill_tokens_per_s(), fallbackPrefillRate);
+        rate += valueOr(endpoint->prefill_tokens_per_s(), fallbackPrefillRate);
     return rate;
 }
 
-time_point pool_endpoints::nextSlot(std::uint32_t pieces, time_point now) const
+time_point pool_endpoints::nextFreeSlot(std::uint32_t pieces, time_point now) const
 {
     time_point earliest = time_point::max();
     for (const auto* endpoint : usable(m_kind == pool_kind::Model ? "decode" : "service", {}, true, now)) {
         if (fitsAt(*endpoint, pieces, now))
             return now;
-        auto running = m_byDecode.find(endpoint->id());
-        if (running == m_byDecode.end())
+        auto running = m_reservationsByDecode.find(endpoint->id());
+        if (running == m_reservationsByDecode.end())
             continue;
         for (const auto& key : running->second)
             earliest = std::min(earliest, std::max(now, m_reservations.at(key).decodeEnds));
@@ -239,7 +238,7 @@
     return earliest;
 }
 
-std::uint32_t pool_endpoints::slotsTotal() const
+std::uint32_t pool_endpoints::totalSlots() const
 {
     std::uint32_t slots = 0;
     for (const auto* endpoint : m_table.serving()) {
@@ -248,13 +247,13 @@
     return slots;
 }
 
-std::uint32_t pool_endpoints::inFlightOf(const std::string& organisation) const
+std::uint32_t pool_endpoints::inFlightCount(const std::string& organisation) const
 {
-    auto found = m_byOrganisation.find(organisation);
-    return found == m_byOrganisation.end() ? 0 : found->second;
+    auto found = m_inFlightByOrganisation.find(organisation);
+    return found == m_inFlightByOrganisation.end() ? 0 : found->second;
 }
 
-bool pool_endpoints::runsFingerprint(std::uint64_t fingerprint) const
+bool pool_endpoints::isRunning(std::uint64_t fingerprint) const
 {
     return std::any_of(m_reservations.begin(), m_reservations.end(), [&](const auto& item) { return item.second.fingerprint == fingerprint; });
 }
--- a/Source/scheduling/pool_endpoints.h
+++ b/Source/scheduling/pool_endpoints.h
@@ -9,7 +9,7 @@
 
 namespace pistachiolatch {
 
-/// One request on its endpoints.
+/// The endpoints reserved for one attempt of a request, and the predicted ends of its stages.
 struct reservation {
     std::string requestId;
     std::uint32_t attempt = 0;
@@ -26,20 +26,21 @@
     time_point placedAt {};
     time_point prefillEnds {};
     time_point transferEnds {};
-    /// The latest moment at which an engine that keeps its pace has made all allowed tokens.
+    /// Upper bound for the end: when an engine at its usual speed has generated the maximum number of tokens.
     time_point decodeEnds {};
 };
 
-/// What a pool knows of its endpoints: their announcements, which lag, corrected by its own reservations, which don't.
+/// The state of a pool's endpoints: their announcements, which lag, corrected by the pool's own reservations, which are
+/// current.
 /// Not thread-safe.
 class pool_endpoints {
 public:
     struct load {
         std::uint32_t requests = 0;
         std::uint32_t pieces = 0;
-        /// When a prefill engine has worked off its prompts, or a decode engine's link its transfers.
+        /// When a prefill engine has completed its prompts, or a decode engine's link its transfers.
         time_point busyUntil {};
-        /// A prompt long enough to hold up short ones is among them.
+        /// Number of prompts that are long enough to delay short ones noticeably.
         std::uint32_t longPrompts = 0;
     };
 
@@ -53,52 +54,56 @@
     circuit_breaker& breaker() { return m_breaker; }
     const circuit_breaker& breaker() const { return m_breaker; }
 
-    /// Endpoints of a role that may get new work, less the excluded ones. The pointers hold until the next announcement.
-    std::vector<const wire::endpoint_announcement*> usable(const std::string& role, const std::set<std::string>& exclude, bool withBreaker, time_point now) const;
-    /// Own bookkeeping of an endpoint.
+    /// Endpoints of a role that may get new work, without the excluded ones. The pointers are valid until the next
+    /// announcement.
+    std::vector<const wire::endpoint_announcement*> usable(const std::string& role, const std::set<std::string>& exclude, bool useBreaker, time_point now) const;
+    /// Load of an endpoint by the reservations of this pool.
     const load& loadOf(const std::string& id) const;
-    /// Books a request onto its endpoints and predicts its stages.
+    /// Reserves the endpoints for a request and predicts the ends of its stages.
     void reserve(const pool_request& request, const chosen_endpoints& chosen, time_point now);
-    /// Books what an entry reports to hold, after a takeover.
-    void adopt(reservation held, time_point now);
-    /// What is booked for an attempt, or null.
+    /// Adds a reservation, for example one that an entry reports after a takeover. Ignored if the attempt has one
+    /// already.
+    void addReservation(reservation added, time_point now);
+    /// The reservation of an attempt; null if there is none.
     const reservation* find(const std::string& requestId, std::uint32_t attempt) const;
-    /// Takes in a stage reached; a finished or failed request frees its endpoints. Returns what was booked.
-    std::optional<reservation> progress(const std::string& requestId, std::uint32_t attempt, wire::progress_stage stage, time_point now);
-    /// Drops reservations whose entry is not in the list any more, and those long past any possible end.
-    void sweep(const std::vector<wire::live_process>& live, time_point now);
+    /// Records that an attempt reached a stage; a finished or failed one releases its endpoints. Returns the
+    /// reservation.
+    std::optional<reservation> updateStage(const std::string& requestId, std::uint32_t attempt, wire::progress_stage stage, time_point now);
+    /// Removes reservations of entries that are not in the list, and those long past the upper bound of their end.
+    void removeStaleReservations(const std::vector<wire::live_process>& live, time_point now);
 
-    /// Time for a prompt on a prefill engine, counting a cached prefix as free.
+    /// Time to prefill a prompt; a cached prefix takes none.
     static milliseconds prefillTime(const wire::endpoint_announcement& endpoint, std::uint32_t promptTokens, std::uint64_t prefix);
-    /// Time for a prompt's KV cache on the link to a decode engine.
+    /// Time to transfer a prompt's KV cache to a decode engine.
     static milliseconds transferTime(const wire::endpoint_announcement& source, const wire::endpoint_announcement& target, std::uint32_t promptTokens);
-    /// Slots of a decode engine that are surely free at a moment, by the upper bounds of what runs on it.
+    /// Whether a decode engine certainly has a free slot and that much memory at that time, by the upper bounds of its
+    /// reservations.
     bool fitsAt(const wire::endpoint_announcement& endpoint, std::uint32_t pieces, time_point at) const;
-    /// Prompt tokens a second that the usable prefill engines work off together.
+    /// Prompt tokens per second of all usable prefill engines.
     double prefillRate(time_point now) const;
-    /// When the next decode slot is surely free, over all engines; `now` when one is.
-    time_point nextSlot(std::uint32_t pieces, time_point now) const;
-    std::uint32_t slotsTotal() const;
-    std::uint32_t inFlightOf(const std::string& organisation) const;
-    bool runsFingerprint(std::uint64_t fingerprint) const;
+    /// Earliest time at which a slot is certainly free on any engine; `now` if one is free.
+    time_point nextFreeSlot(std::uint32_t pieces, time_point now) const;
+    std::uint32_t totalSlots() const;
+    std::uint32_t inFlightCount(const std::string& organisation) const;
+    bool isRunning(std::uint64_t fingerprint) const;
     const std::map<std::string, reservation>& reservations() const { return m_reservations; }
     std::size_t inFlight() const { return m_reservations.size(); }
 
 private:
-    static std::string keyOf(const std::string& requestId, std::uint32_t attempt);
-    void release(const reservation& booked, time_point now);
-    void releasePrefill(const reservation& booked, time_point now);
+    static std::string reservationKey(const std::string& requestId, std::uint32_t attempt);
+    void release(const reservation& reserved, time_point now);
+    void releasePrefill(const reservation& reserved, time_point now);
 
     pool_kind m_kind;
     endpoint_table m_table;
     circuit_breaker m_breaker;
     std::map<std::string, load> m_loads;
     std::map<std::string, reservation> m_reservations;
-    std::map<std::string, std::vector<std::string>> m_byDecode;
-    std::map<std::string, std::uint32_t> m_byOrganisation;
+    std::map<std::string, std::vector<std::string>> m_reservationsByDecode;
+    std::map<std::string, std::uint32_t> m_inFlightByOrganisation;
 };
 
-/// Prompts longer than this hold up short ones for noticeable time.
+/// Prompts longer than this delay short ones noticeably.
 constexpr std::uint32_t longPromptTokens = 8192;
 
 } // namespace pistachiolatch
--- a/Source/scheduling/pool_queue.cpp
+++ b/Source/scheduling/pool_queue.cpp
@@ -1,4 +1,4 @@
-// How a pool admits, holds back and refuses requests.
+// Admission, queueing and refusal of a pool's requests.
 #include "scheduling/pool.h"
 
 #include <algorithm>
@@ -7,11 +7,11 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr milliseconds leastRetryAfter { 100 };
+    constexpr milliseconds minRetryAfter { 100 };
     constexpr milliseconds noEndpointRetry { 2000 };
     constexpr milliseconds poisonRetry { 0 };
 
-    std::set<std::string> excludedBy(const pool_request& request)
+    std::set<std::string> excludedEndpoints(const pool_request& request)
     {
         return { request.place.exclude().begin(), request.place.exclude().end() };
     }
@@ -21,15 +21,15 @@
 {
     request.arrived = now;
     request.deadline = now + milliseconds(request.place.patience_ms());
-    // An attempt asked for again after a lost answer keeps its place, or gets the answer it was given.
-    if (m_queue.refresh(request))
+    // A repeated request, sent because the response was lost, keeps its place in the queue or gets the same response.
+    if (m_queue.updateCall(request))
         return;
-    if (const auto* booked = m_endpoints.find(request.place.request_id(), request.place.attempt())) {
-        answer(request, booked->endpoints);
+    if (const auto* reserved = m_endpoints.find(request.place.request_id(), request.place.attempt())) {
+        accept(request, reserved->endpoints);
         return;
     }
     m_queue.remove(request.place.request_id());
-    if (!refusedAtOnce(request, now))
+    if (!refuseOnArrival(request, now))
         m_queue.push(std::move(request));
 }
 
@@ -55,13 +55,13 @@
     return !m_endpoints.usable("prefill", exclude, false, now).empty() && !m_endpoints.usable("decode", exclude, false, now).empty();
 }
 
-bool pool::refusedAtOnce(const pool_request& request, time_point now)
+bool pool::refuseOnArrival(const pool_request& request, time_point now)
 {
-    if (m_suspects.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
+    if (m_crashes.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
         refuse(request, reason::PoisonRequest, poisonRetry);
         return true;
     }
-    if (!hasEndpoints(excludedBy(request), now)) {
+    if (!hasEndpoints(excludedEndpoints(request), now)) {
         refuse(request, reason::NoEndpoint, noEndpointRetry);
         return true;
     }
@@ -75,14 +75,14 @@
     auto wait = expectedWait(request, now);
     if (wait <= milliseconds(request.place.patience_ms()))
         return false;
-    refuse(request, reason::DeadlineUnreachable, std::max(leastRetryAfter, wait - milliseconds(request.place.patience_ms())));
+    refuse(request, reason::DeadlineUnreachable, std::max(minRetryAfter, wait - milliseconds(request.place.patience_ms())));
     return true;
 }
 
 milliseconds pool::expectedWait(const pool_request& request, time_point now) const
 {
-    auto slot = m_endpoints.nextSlot(m_kind == pool_kind::Model ? request.pieces() : 0, now);
-    // Engines that can't be predicted give no ground for a refusal; the deadline in the queue decides then.
+    auto slot = m_endpoints.nextFreeSlot(m_kind == pool_kind::Model ? request.pieces() : 0, now);
+    // Without a prediction the request is not refused here but at its deadline.
     auto slotWait = slot == time_point::max() ? milliseconds(0) : std::chrono::ceil<milliseconds>(slot - now);
     if (m_kind == pool_kind::Service)
         return m_queue.size() == 0 ? milliseconds(0) : slotWait;
@@ -94,15 +94,16 @@
     return std::max(prefillWait, m_queue.size() == 0 ? milliseconds(0) : slotWait);
 }
 
-bool pool::mustWait(const pool_request& request) const
+bool pool::isHeldBack(const pool_request& request) const
 {
-    // After one crash, copies of the request run one at a time, so that a second crash is seen before a third endpoint is risked.
-    if (m_suspects.crashCount(request.place.fingerprint()) > 0 && m_endpoints.runsFingerprint(request.place.fingerprint()))
+    // After one crash, copies of the request run one at a time, so that a second crash is detected before a third
+    // endpoint is at risk.
+    if (m_crashes.crashCount(request.place.fingerprint()) > 0 && m_endpoints.isRunning(request.place.fingerprint()))
         return true;
-    if (m_kind == pool_kind::Service || m_queue.organisations() < 2 || request.inFlightShare >= 100)
+    if (m_kind == pool_kind::Service || m_queue.organisationCount() < 2 || request.inFlightShare >= 100)
         return false;
-    auto cap = std::max<std::uint32_t>(1, m_endpoints.slotsTotal() * request.inFlightShare / 100);
-    return m_endpoints.inFlightOf(request.place.organisation()) >= cap;
+    auto cap = std::max<std::uint32_t>(1, m_endpoints.totalSlots() * request.inFlightShare / 100);
+    return m_endpoints.inFlightCount(request.place.organisation()) >= cap;
 }
 
 bool pool::willBeLate(const pool_request& request, const chosen_endpoints& chosen) const
@@ -114,14 +115,14 @@
 
 bool pool::tryPlace(const pool_request& request, time_point now)
 {
-    if (m_suspects.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
+    if (m_crashes.crashCount(request.place.fingerprint()) >= crash_tracker::crashesToBlock) {
         refuse(request, reason::PoisonRequest, poisonRetry);
         m_queue.take(request.place.request_id(), request.place.attempt());
         return true;
     }
-    if (mustWait(request))
+    if (isHeldBack(request))
         return false;
-    auto exclude = excludedBy(request);
+    auto exclude = excludedEndpoints(request);
     auto chosen = std::visit([&](auto& policy) { return policy.choose(m_endpoints, request, exclude, m_settings.breaker, now); }, m_policy);
     if (!chosen)
         return false;
@@ -131,16 +132,16 @@
     }
     auto taken = m_queue.take(request.place.request_id(), request.place.attempt());
     m_endpoints.reserve(taken, *chosen, now);
-    answer(taken, *chosen);
+    accept(taken, *chosen);
     return true;
 }
 
-void pool::answer(const pool_request& request, const chosen_endpoints& chosen)
+void pool::accept(const pool_request& request, const chosen_endpoints& chosen)
 {
-    static const wire::endpoint_announcement gone;
+    static const wire::endpoint_announcement unknown;
     auto endpointOf = [this](const std::string& id) -> const wire::endpoint_announcement& {
         const auto* endpoint = m_endpoints.table().find(id);
-        return endpoint ? *endpoint : gone;
+        return endpoint ? *endpoint : unknown;
     };
     pool_decision decision;
     decision.entryAddress = request.entryAddress;
@@ -159,11 +160,11 @@
     m_decisions.push_back(std::move(decision));
 }
 
-void pool::dropLate(time_point now)
+void pool::refuseExpired(time_point now)
 {
-    for (const auto& request : m_queue.removeIf([now](const pool_request& one) { return one.deadline <= now; })) {
-        bool any = hasEndpoints(excludedBy(request), now);
-        refuse(request, any ? reason::NoCapacity : reason::NoEndpoint, any ? std::max(leastRetryAfter, expectedWait(request, now)) : noEndpointRetry);
+    for (const auto& request : m_queue.removeIf([now](const pool_request& request) { return request.deadline <= now; })) {
+        bool available = hasEndpoints(excludedEndpoints(request), now);
+        refuse(request, available ? reason::NoCapacity : reason::NoEndpoint, available ? std::max(minRetryAfter, expectedWait(request, now)) : noEndpointRetry);
     }
 }
 
--- a/Source/scheduling/retry_budget.cpp
+++ b/Source/scheduling/retry_budget.cpp
@@ -6,7 +6,7 @@
 
 void retry_budget::onSuccess()
 {
-    m_successes = std::min(mostRetriesSaved * successesPerRetry, m_successes + 1);
+    m_successes = std::min(maxSavedRetries * successesPerRetry, m_successes + 1);
 }
 
 bool retry_budget::tryRetry()
--- a/Source/scheduling/retry_budget.h
+++ b/Source/scheduling/retry_budget.h
@@ -2,21 +2,21 @@
 
 namespace pistachiolatch {
 
-/// Bounds further attempts to a share of the successes, so that a failing pool is not buried under retries.
+/// Limits retries to a share of the successes, so that a failing pool is not overloaded by retries.
 /// Not thread-safe.
 class retry_budget {
 public:
     void onSuccess();
-    /// Takes one retry out of the budget if there is one.
+    /// Consumes one retry of the budget. Returns whether one was left.
     bool tryRetry();
 
 private:
-    /// Successes that a retry costs; a fifth of the successes may be retries.
+    /// Number of successes that allow one retry, so retries are at most a fifth of the successes.
     static constexpr int successesPerRetry = 5;
-    static constexpr int mostRetriesSaved = 20;
-    static constexpr int retriesAtStart = 10;
+    static constexpr int maxSavedRetries = 20;
+    static constexpr int initialRetries = 10;
 
-    int m_successes = retriesAtStart * successesPerRetry;
+    int m_successes = initialRetries * successesPerRetry;
 };
 
 } // namespace pistachiolatch
--- a/Source/scheduling/scheduling.h
+++ b/Source/scheduling/scheduling.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Which endpoint runs what, and when: pools, reservations, queues, policies.
-/// This is the library's one public header.
+/// Placement of requests on endpoints: pools, reservations, queues, policies.
+/// This is the library's only public header.
 #include "scheduling/engine_planner.h"
 #include "scheduling/output_estimator.h"
 #include "scheduling/placement_queue.h"
--- a/Tests/Scheduling/EnginePlannerTest.cpp
+++ b/Tests/Scheduling/EnginePlannerTest.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr std::uint64_t memoryTokens = 74000;
 
-wire::endpoint_row rowOf(const std::string& id, wire::endpoint_stage stage, const std::string& dataCentre = "a", unsigned slots = 32)
+wire::endpoint_row makeRow(const std::string& id, wire::endpoint_stage stage, const std::string& dataCentre = "a", unsigned slots = 32)
 {
     wire::endpoint_row row;
     auto& report = *row.mutable_report();
@@ -21,30 +21,30 @@
     return row;
 }
 
-placement_request askOf(std::uint64_t id, std::uint64_t prompt = 5200, std::uint64_t output = 5000)
+placement_request makeRequest(std::uint64_t id, std::uint64_t prompt = 5200, std::uint64_t output = 5000)
 {
-    placement_request ask;
-    ask.callId = id;
-    ask.service = "llm";
-    ask.dataCentre = "a";
-    ask.promptTokens = prompt;
-    ask.outputTokens = output;
-    ask.memoryTokens = memoryTokens;
-    return ask;
+    placement_request request;
+    request.callId = id;
+    request.service = "llm";
+    request.dataCentre = "a";
+    request.promptTokens = prompt;
+    request.outputTokens = output;
+    request.memoryTokens = memoryTokens;
+    return request;
 }
 
-/// Lets the planner learn how fast engines read, by calls that ended.
-void teachReading(engine_planner& planner, time_point now, std::uint64_t tokensPerMs)
+/// Trains the planner's speed model with completed calls.
+void trainPrefillSpeed(engine_planner& planner, time_point now, std::uint64_t tokensPerMs)
 {
     constexpr std::uint64_t firstCall = 1'000'000;
     for (std::uint64_t i = 1; i <= 10; ++i) {
-        REQUIRE_FALSE(planner.place("teacher", askOf(firstCall + i, 100), now).full);
-        planner.release("teacher", firstCall + i, { .prefillTokens = 20 * i * tokensPerMs, .prefillTime = milliseconds(20 * i) });
+        REQUIRE_FALSE(planner.place("trainer", makeRequest(firstCall + i, 100), now).full);
+        planner.release("trainer", firstCall + i, { .prefillTokens = 20 * i * tokensPerMs, .prefillTime = milliseconds(20 * i) });
     }
 }
 }
 
-TEST_CASE("The peak of memory lies where the last growth before an end is, not at the sum of all ends")
+TEST_CASE("Peak memory lies just before a call ends and is less than the sum of all calls at their ends")
 {
     CHECK(peakMemory({}) == 0);
     CHECK(peakMemory({ { 100, 50 } }) == 150);
@@ -54,41 +54,39 @@
     CHECK(peakMemory({ { 10, 10 }, { 10, 500 } }) == 510);
 }
 
-// Callers see: streams stop for seconds while their prompts are read a second time.
-// Order: at twice the usual load calls come faster than the entries' reports; some engines get more than they hold.
-// Why: each call is booked when it is placed, by what it will hold as it grows; what doesn't fit waits or is refused.
-TEST_CASE("Engines are filled evenly and never beyond what their calls will hold")
+// At twice the usual load calls arrive faster than the entries' reports. Unless each call is reserved at its placement
+// with its projected memory, some engines are overfilled and their streams stall for seconds while prompts are
+// prefilled again.
+TEST_CASE("Engines are filled evenly and never beyond the projected memory of their calls")
 {
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(makeRow(id, wire::STAGE_DECODE));
     std::map<std::string, int> placed;
     std::uint64_t id = 0;
     while (true) {
-        auto plan = planner.place("entry", askOf(++id), clock.now());
-        if (plan.full)
+        auto placement = planner.place("entry", makeRequest(++id), clock.now());
+        if (placement.full)
             break;
-        ++placed[plan.decode];
+        ++placed[placement.decode];
         REQUIRE(id < 100);
     }
-    for (const auto* one : { "d1", "d2", "d3" }) {
-        CHECK(placed[one] == 6);
-        CHECK(planner.projectedTokens(one, clock.now()) <= memoryTokens);
+    for (const auto* engine : { "d1", "d2", "d3" }) {
+        CHECK(placed[engine] == 6);
+        CHECK(planner.projectedTokens(engine, clock.now()) <= memoryTokens);
     }
 }
 
-// Callers see: refusals while engines are half empty.
-// Order: calls are placed one after the other over the time that each runs; those placed first end while the last grow.
-// Why: counted by the most that each is expected to hold, thirteen calls fill this engine; in truth it holds more, spread
-// over time.
-TEST_CASE("Calls that began at different times share more memory than their ends add up to")
+// Calls that start one after the other reach their peaks at different times. By the sum of their expected peaks
+// thirteen calls fill this engine, and calls are refused while it is half empty.
+TEST_CASE("Calls that start at different times fit in less memory than the sum of their peaks")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
     std::uint64_t id = 0;
-    std::size_t most = 0;
+    std::size_t maxRunning = 0;
     std::map<std::uint64_t, time_point> running;
     constexpr milliseconds runsFor { 3300 };
     for (int step = 0; step < 200; ++step) {
@@ -101,230 +99,224 @@
             planner.release("entry", it->first, { .generatedTokens = 5000, .generationTime = runsFor });
             it = running.erase(it);
         }
-        auto ask = askOf(++id);
-        ask.memoryTokens = 2 * memoryTokens;
-        auto plan = planner.place("entry", ask, clock.now());
-        if (!plan.full)
+        auto request = makeRequest(++id);
+        request.memoryTokens = 2 * memoryTokens;
+        auto placement = planner.place("entry", request, clock.now());
+        if (!placement.full)
             running[id] = clock.now();
-        most = std::max(most, running.size());
+        maxRunning = std::max(maxRunning, running.size());
     }
-    auto byEnds = static_cast<double>(2 * memoryTokens) / (5200 + expectedRest(5000, 0));
-    CHECK(static_cast<int>(byEnds) == 13);
-    CHECK(most > 13);
+    auto callsBySum = static_cast<double>(2 * memoryTokens) / (5200 + expectedRemaining(5000, 0));
+    CHECK(static_cast<int>(callsBySum) == 13);
+    CHECK(maxRunning > 13);
 }
 
-// Callers see: an engine stands empty after an entry died or a message was lost.
-// Order: the entry's release is lost; its next list of running calls no longer has the call.
-// Why: the list replaces what was noted, but for calls placed so recently that the list can't have them yet.
-TEST_CASE("An entry's list replaces what was noted for it")
+// When the release of a call is lost, its engine stays reserved until the entry's next list of running calls. The list
+// replaces the tracked calls, except those placed so recently that it can't contain them yet.
+TEST_CASE("An entry's list of running calls replaces those tracked for it")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.place("entry", askOf(1), clock.now());
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
+    planner.place("entry", makeRequest(1), clock.now());
     clock.advance(milliseconds(500));
-    planner.place("entry", askOf(2), clock.now());
+    planner.place("entry", makeRequest(2), clock.now());
     planner.replaceCalls("entry", {}, clock.now());
-    CHECK(planner.projectedTokens("d1", clock.now()) == 5200 + static_cast<std::uint64_t>(expectedRest(5000, 0)));
+    CHECK(planner.projectedTokens("d1", clock.now()) == 5200 + static_cast<std::uint64_t>(expectedRemaining(5000, 0)));
     planner.removeEntry("entry");
     CHECK(planner.projectedTokens("d1", clock.now()) == 0);
 }
 
-TEST_CASE("Prompts go to the prefill engine that is free first, and to none when all are far behind")
+TEST_CASE("Prompts go to the prefill engine that is free first, and to none when all queues are long")
 {
     manual_clock_source clock;
     engine_planner planner(7);
     for (int i = 0; i < 40; ++i)
-        planner.updateEndpoint(rowOf("d" + std::to_string(i), wire::STAGE_DECODE));
-    planner.updateEndpoint(rowOf("p1", wire::STAGE_PREFILL));
-    planner.updateEndpoint(rowOf("p2", wire::STAGE_PREFILL));
-    teachReading(planner, clock.now(), 50);
+        planner.updateEndpoint(makeRow("d" + std::to_string(i), wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("p1", wire::STAGE_PREFILL));
+    planner.updateEndpoint(makeRow("p2", wire::STAGE_PREFILL));
+    trainPrefillSpeed(planner, clock.now(), 50);
     clock.advance(milliseconds(1000));
-    auto first = planner.place("entry", askOf(1), clock.now());
-    auto second = planner.place("entry", askOf(2), clock.now());
+    auto first = planner.place("entry", makeRequest(1), clock.now());
+    auto second = planner.place("entry", makeRequest(2), clock.now());
     CHECK(first.prefill != second.prefill);
     std::uint64_t id = 2;
     std::string prefill = "p";
     while (!prefill.empty() && id < 40)
-        prefill = planner.place("entry", askOf(++id), clock.now()).prefill;
+        prefill = planner.place("entry", makeRequest(++id), clock.now()).prefill;
     CHECK(prefill.empty());
     clock.advance(milliseconds(1000));
-    CHECK_FALSE(planner.place("entry", askOf(++id), clock.now()).prefill.empty());
+    CHECK_FALSE(planner.place("entry", makeRequest(++id), clock.now()).prefill.empty());
 }
 
-TEST_CASE("Leaving and silent engines and those tried already get nothing")
+TEST_CASE("Leaving, silent and already tried engines get no calls")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    auto leaving = rowOf("d1", wire::STAGE_DECODE);
+    auto leaving = makeRow("d1", wire::STAGE_DECODE);
     leaving.mutable_report()->set_state(wire::ENDPOINT_LEAVING);
-    auto silent = rowOf("d2", wire::STAGE_DECODE);
+    auto silent = makeRow("d2", wire::STAGE_DECODE);
     silent.set_silent(true);
     planner.updateEndpoint(leaving);
     planner.updateEndpoint(silent);
-    planner.updateEndpoint(rowOf("d3", wire::STAGE_DECODE));
-    auto ask = askOf(1);
-    ask.exclude = { "d3" };
-    CHECK(planner.place("entry", ask, clock.now()).full);
-    ask.exclude.clear();
-    CHECK(planner.place("entry", ask, clock.now()).decode == "d3");
+    planner.updateEndpoint(makeRow("d3", wire::STAGE_DECODE));
+    auto request = makeRequest(1);
+    request.exclude = { "d3" };
+    CHECK(planner.place("entry", request, clock.now()).full);
+    request.exclude.clear();
+    CHECK(planner.place("entry", request, clock.now()).decode == "d3");
 }
 
-// Callers see: a report that broke off is not resumed though an engine serves.
-// Order: a stream breaks off at one engine; the other failed a moment ago; the entry asks to avoid it, and the planner
-// finds no engine at all.
-// Why: what failed lately is avoided only while another engine serves.
-TEST_CASE("An engine that failed lately is used where no other serves")
+// A stream breaks at one of two engines and the entry avoids the other, which failed recently. Unless the avoided
+// engine is used when there is no other, the stream is not resumed.
+TEST_CASE("An engine that failed recently is used if there is no other")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
-    auto ask = askOf(1);
-    ask.avoid = { "d1" };
-    CHECK(planner.place("entry", ask, clock.now()).decode == "d2");
-    ask.exclude = { "d2" };
-    CHECK(planner.place("entry", ask, clock.now()).decode == "d1");
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("d2", wire::STAGE_DECODE));
+    auto request = makeRequest(1);
+    request.avoid = { "d1" };
+    CHECK(planner.place("entry", request, clock.now()).decode == "d2");
+    request.exclude = { "d2" };
+    CHECK(planner.place("entry", request, clock.now()).decode == "d1");
 }
 
-// Callers see: all streams of an engine stand still for half a second, time and again, and are late.
-// Order: a burst keeps the prefill engines busy; the planner sends prompts to decode engines unread; each makes no tokens
-// while it reads.
-// Why: a decode engine that has streams reads only what doesn't hold them up; other calls wait for a prefill engine.
-TEST_CASE("A decode engine that has streams reads no long prompt while prefill engines are busy")
+// A decode engine generates no tokens while it prefills. If it prefills long prompts during a burst that keeps the
+// prefill engines busy, all its streams stall repeatedly for half a second, so such calls must wait for a prefill
+// engine.
+TEST_CASE("A decode engine with streams prefills no long prompt while prefill engines are busy")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.updateEndpoint(rowOf("p1", wire::STAGE_PREFILL));
-    teachReading(planner, clock.now(), 50);
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("p1", wire::STAGE_PREFILL));
+    trainPrefillSpeed(planner, clock.now(), 50);
     clock.advance(milliseconds(1000));
-    auto ask = [](std::uint64_t id, std::uint64_t prompt) {
-        auto one = askOf(id, prompt, 100);
-        one.memoryTokens = 100 * memoryTokens;
-        return one;
+    auto largeMemoryRequest = [](std::uint64_t id, std::uint64_t prompt) {
+        auto request = makeRequest(id, prompt, 100);
+        request.memoryTokens = 100 * memoryTokens;
+        return request;
     };
     std::uint64_t id = 0;
-    while (!planner.place("entry", ask(++id, 5200), clock.now()).full)
+    while (!planner.place("entry", largeMemoryRequest(++id, 5200), clock.now()).full)
         REQUIRE(id < 20);
     CHECK(id > 2);
-    // A short one costs the streams less than the usual pause between events; a second at once does not.
-    auto brief = planner.place("entry", ask(++id, 2000), clock.now());
-    CHECK_FALSE(brief.full);
-    CHECK(brief.prefill.empty());
-    CHECK(planner.place("entry", ask(++id, 2000), clock.now()).full);
-    // Without any prefill engine there is no other way.
-    auto gone = rowOf("p1", wire::STAGE_PREFILL);
+    // A short prompt stalls the streams for less than the usual gap between events; a second one right after it does
+    // not.
+    auto shortPrompt = planner.place("entry", largeMemoryRequest(++id, 2000), clock.now());
+    CHECK_FALSE(shortPrompt.full);
+    CHECK(shortPrompt.prefill.empty());
+    CHECK(planner.place("entry", largeMemoryRequest(++id, 2000), clock.now()).full);
+    // Without any prefill engine the decode engine prefills all prompts.
+    auto gone = makeRow("p1", wire::STAGE_PREFILL);
     gone.mutable_report()->set_state(wire::ENDPOINT_GONE);
     planner.updateEndpoint(gone);
-    CHECK_FALSE(planner.place("entry", ask(++id, 5200), clock.now()).full);
+    CHECK_FALSE(planner.place("entry", largeMemoryRequest(++id, 5200), clock.now()).full);
 }
 
-// Callers see: streams stand still while an engine reads prompts a second time.
-// Order: engines are filled by callers' guesses; some answers turn out two or three times as long; memory runs out.
-// Why: a guess is weighed with the usual length of the route's answers, and an answer that outgrew its forecast counts
-// as longer still the longer it runs.
-TEST_CASE("Forecasts of answers use guesses and history")
+// Some answers are two or three times as long as the callers' hints. If engines are filled by hints alone, memory runs
+// out and streams stall while prompts are prefilled again. So a hint is combined with the route's history, and the
+// expected remaining length of an answer that exceeds its estimate grows with its length.
+TEST_CASE("Output estimates use hints and history")
 {
-    output_estimator forecast;
-    CHECK(forecast.estimate("r", 9000, std::nullopt) == 4500);
+    output_estimator estimator;
+    CHECK(estimator.estimate("r", 9000, std::nullopt) == 4500);
     for (int i = 0; i < 200; ++i)
-        forecast.record("r", i % 2 == 0 ? 2000 : 8000);
-    auto usual = forecast.estimate("r", 9000, std::nullopt);
-    CHECK(usual > 3900);
-    CHECK(usual < 4200);
-    auto low = forecast.estimate("r", 9000, 1000);
-    auto high = forecast.estimate("r", 9000, 16000);
+        estimator.record("r", i % 2 == 0 ? 2000 : 8000);
+    auto withoutHint = estimator.estimate("r", 9000, std::nullopt);
+    CHECK(withoutHint > 3900);
+    CHECK(withoutHint < 4200);
+    auto low = estimator.estimate("r", 9000, 1000);
+    auto high = estimator.estimate("r", 9000, 16000);
     CHECK(low > 1500);
-    CHECK(low < usual);
-    CHECK(high > usual);
+    CHECK(low < withoutHint);
+    CHECK(high > withoutHint);
     CHECK(high < 8500);
-    CHECK(forecast.estimate("r", 3000, 16000) == 3000);
-    CHECK(forecast.estimate("r", 0, 16000) == 0);
-    double rest = expectedRest(5000, 0);
-    CHECK(rest > 5000);
-    CHECK(expectedRest(5000, 3000) < rest - 2000);
-    CHECK(expectedRest(5000, 3000) > rest - 3000);
-    CHECK(expectedRest(5000, 10000) > 1000);
-    CHECK(expectedRest(5000, 100000) > expectedRest(5000, 50000));
+    CHECK(estimator.estimate("r", 3000, 16000) == 3000);
+    CHECK(estimator.estimate("r", 0, 16000) == 0);
+    double remaining = expectedRemaining(5000, 0);
+    CHECK(remaining > 5000);
+    CHECK(expectedRemaining(5000, 3000) < remaining - 2000);
+    CHECK(expectedRemaining(5000, 3000) > remaining - 3000);
+    CHECK(expectedRemaining(5000, 10000) > 1000);
+    CHECK(expectedRemaining(5000, 100000) > expectedRemaining(5000, 50000));
 }
 
-// Which part of the forecasts' errors remains: seeded lengths and guesses, both spread as measured on the users' engines.
-TEST_CASE("Forecasts err less than guesses or the usual length alone")
+// Lengths and hints are random with a fixed seed; both have the spread measured on the users' engines.
+TEST_CASE("Estimates have smaller errors than hints or the mean length alone")
 {
     std::mt19937_64 random(11);
     std::normal_distribution<double> spread(0, 0.5);
-    output_estimator forecast;
-    double byForecast = 0;
-    double byGuess = 0;
-    double byUsual = 0;
+    output_estimator estimator;
+    double estimateError = 0;
+    double hintError = 0;
+    double meanError = 0;
     for (int i = 0; i < 4000; ++i) {
         auto length = std::min(9400.0, 4500 * std::exp(spread(random)));
-        auto guess = length * std::exp(spread(random));
+        auto hint = length * std::exp(spread(random));
         if (i > 200) {
-            byForecast += std::pow(static_cast<double>(forecast.estimate("r", 9400, static_cast<std::uint64_t>(guess))) - length, 2);
-            byGuess += std::pow(std::min(guess, 9400.0) - length, 2);
-            byUsual += std::pow(4900 - length, 2);
+            estimateError += std::pow(static_cast<double>(estimator.estimate("r", 9400, static_cast<std::uint64_t>(hint))) - length, 2);
+            hintError += std::pow(std::min(hint, 9400.0) - length, 2);
+            meanError += std::pow(4900 - length, 2);
         }
-        forecast.record("r", static_cast<std::uint64_t>(length));
+        estimator.record("r", static_cast<std::uint64_t>(length));
     }
-    CHECK(byForecast < 0.75 * byGuess);
-    CHECK(byForecast < 0.75 * byUsual);
+    CHECK(estimateError < 0.75 * hintError);
+    CHECK(estimateError < 0.75 * meanError);
 }
 
-// Callers see: one call in five fails for seconds, and prompts are read for nothing.
-// Order: an engine answers each call with an error at once while its health check is good; so it is always empty, and each
-// entry in turn sends it calls until it has failed there often enough.
-// Why: the leader counts the failures of all entries; after three in a row one call a second tries the engine.
-TEST_CASE("An engine that fails all calls is left alone by all entries")
+// An engine that fails every call at once while its health check succeeds is always empty, so each entry in turn sends
+// it calls until it has seen enough failures itself: one call in five fails for seconds and prefills are wasted. The
+// leader therefore counts the failures of all entries and after three in a row sends one probe per second.
+TEST_CASE("An engine that fails all calls gets only probes from all entries together")
 {
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(makeRow(id, wire::STAGE_DECODE));
     std::uint64_t id = 0;
-    int atBad = 0;
+    int atFailing = 0;
     for (int step = 0; step < 300; ++step) {
         clock.advance(milliseconds(100));
         auto entry = "entry-" + std::to_string(step % 60);
-        auto plan = planner.place(entry, askOf(++id, 500, 500), clock.now());
-        REQUIRE_FALSE(plan.full);
+        auto placement = planner.place(entry, makeRequest(++id, 500, 500), clock.now());
+        REQUIRE_FALSE(placement.full);
         planner.release(entry, id);
-        if (plan.decode == "d1") {
-            ++atBad;
+        if (placement.decode == "d1") {
+            ++atFailing;
             planner.recordFailure("d1", clock.now());
         } else {
-            planner.recordSuccess(plan.decode);
+            planner.recordSuccess(placement.decode);
         }
     }
-    CHECK(atBad >= 10);
-    CHECK(atBad <= 35);
-    // It serves again: the one call that tries it succeeds, and it gets its share.
-    int atGood = 0;
+    CHECK(atFailing >= 10);
+    CHECK(atFailing <= 35);
+    // The engine recovers: a probe succeeds, and it gets its share of the calls.
+    int atRecovered = 0;
     for (int step = 0; step < 60; ++step) {
         clock.advance(milliseconds(100));
-        auto plan = planner.place("entry", askOf(++id, 500, 500), clock.now());
+        auto placement = planner.place("entry", makeRequest(++id, 500, 500), clock.now());
         planner.release("entry", id);
-        planner.recordSuccess(plan.decode);
-        atGood += plan.decode == "d1";
+        planner.recordSuccess(placement.decode);
+        atRecovered += placement.decode == "d1";
     }
-    CHECK(atGood >= 8);
+    CHECK(atRecovered >= 8);
 }
 
-// Callers see: refusals while engines are free.
-// Order: all connections of an entry are reset at one moment; each engine counts as failing.
-// Why: failures of one moment count once, and where most engines fail all are used.
-TEST_CASE("Engines are not shut out by failures of one moment or of most engines")
+// When all connections of an entry are reset together, each engine seems to fail and calls are refused while engines
+// are free. So simultaneous failures count once, and if most engines fail, all are used.
+TEST_CASE("Simultaneous failures, or failures of most engines, exclude no engine")
 {
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(makeRow(id, wire::STAGE_DECODE));
     for (int i = 0; i < 20; ++i)
         planner.recordFailure("d1", clock.now());
     std::set<std::string> used;
     for (std::uint64_t id = 1; id <= 9; ++id)
-        used.insert(planner.place("entry", askOf(id), clock.now()).decode);
+        used.insert(planner.place("entry", makeRequest(id), clock.now()).decode);
     CHECK(used.size() == 3);
     planner.removeEntry("entry");
     for (int i = 0; i < 5; ++i) {
@@ -334,20 +326,19 @@
     }
     used.clear();
     for (std::uint64_t id = 1; id <= 9; ++id)
-        used.insert(planner.place("entry", askOf(id), clock.now()).decode);
+        used.insert(planner.place("entry", makeRequest(id), clock.now()).decode);
     CHECK(used.size() == 3);
 }
 
-// Callers see: calls go on failing at an engine that resets each new one.
-// Order: streams that the engine began before it turned bad go on for seconds, while each new call is reset.
-// Why: only events of calls that were placed after its last failure speak for an engine.
-TEST_CASE("Streams from before an engine turned bad don't speak for it")
+// An engine that resets each new call may continue streams that it started before. Their events must not count as
+// successes, or calls go on failing there; only events of calls placed after its last failure count.
+TEST_CASE("Streams started before an engine failed don't count as its successes")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
-    auto first = planner.place("entry", askOf(1), clock.now());
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("d2", wire::STAGE_DECODE));
+    auto first = planner.place("entry", makeRequest(1), clock.now());
     wire::running_call running;
     running.set_id(1);
     running.set_endpoint(first.decode);
@@ -360,71 +351,69 @@
         planner.replaceCalls("entry", { running }, clock.now());
     }
     for (std::uint64_t id = 2; id <= 4; ++id)
-        CHECK(planner.place("entry", askOf(id), clock.now()).decode != first.decode);
-    // One that was placed since does.
+        CHECK(planner.place("entry", makeRequest(id), clock.now()).decode != first.decode);
+    // A call placed after the failure counts.
     clock.advance(milliseconds(500));
     running.set_id(9);
     planner.replaceCalls("entry", { running }, clock.now());
     std::set<std::string> used;
     for (std::uint64_t id = 10; id <= 13; ++id)
-        used.insert(planner.place("entry", askOf(id), clock.now()).decode);
+        used.insert(planner.place("entry", makeRequest(id), clock.now()).decode);
     CHECK(used.count(first.decode) == 1);
 }
 
-// Callers see: refusals for ten seconds after an engine is sound again.
-// Order: an engine failed often; the call that tries it is refused as full, or its caller leaves; nothing is learnt.
-// Why: a trial that ends without a verdict lets the next one begin.
-TEST_CASE("A trial of an engine that ends without a verdict is followed by another")
+// A probe may end without a result: the engine refuses it as full, or its caller disconnects. Unless the next probe
+// may start then, a recovered engine gets no calls for ten seconds.
+TEST_CASE("A probe that ends without a result is followed by another")
 {
     manual_clock_source clock;
     engine_planner planner(7);
     for (const auto* id : { "d1", "d2", "d3" })
-        planner.updateEndpoint(rowOf(id, wire::STAGE_DECODE));
+        planner.updateEndpoint(makeRow(id, wire::STAGE_DECODE));
     for (int i = 0; i < 3; ++i) {
         clock.advance(milliseconds(100));
         planner.recordFailure("d1", clock.now());
     }
-    int trials = 0;
+    int probes = 0;
     for (std::uint64_t id = 1; id <= 40; ++id) {
         clock.advance(milliseconds(100));
-        auto plan = planner.place("entry", askOf(id, 500, 500), clock.now());
-        trials += plan.decode == "d1";
+        auto placement = planner.place("entry", makeRequest(id, 500, 500), clock.now());
+        probes += placement.decode == "d1";
         planner.release("entry", id);
     }
-    CHECK(trials >= 5);
+    CHECK(probes >= 5);
 }
 
-// Callers see: their call is refused or waits, though other engines have room.
-// Order: an entry loses power; engines go on with its streams, which the planner has forgotten with the entry; the fullest
-// of them looks the emptiest, draws every call and refuses it.
-// Why: an engine that refuses is left alone for a while, longer each time, until it serves again.
-TEST_CASE("An engine that refuses calls as full is left alone for a while")
+// After an entry's power loss its engines continue its streams, which the planner no longer tracks. The fullest engine
+// then seems the least loaded, attracts every call and refuses it, while other engines have room. So an engine that
+// refuses gets no calls for an exponentially growing time until it serves again.
+TEST_CASE("An engine that refuses calls as full is backed off")
 {
     manual_clock_source clock;
     engine_planner planner(7);
-    planner.updateEndpoint(rowOf("d1", wire::STAGE_DECODE));
-    planner.updateEndpoint(rowOf("d2", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("d1", wire::STAGE_DECODE));
+    planner.updateEndpoint(makeRow("d2", wire::STAGE_DECODE));
     std::uint64_t id = 0;
     for (int i = 0; i < 3; ++i)
-        planner.place("entry", askOf(++id, 5200, 100), clock.now());
+        planner.place("entry", makeRequest(++id, 5200, 100), clock.now());
     planner.recordRefusal("d1", clock.now());
-    int atFirst = 0;
+    int atRefusing = 0;
     for (int i = 0; i < 3; ++i)
-        atFirst += planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1" ? 1 : 0;
-    CHECK(atFirst == 0);
+        atRefusing += planner.place("entry", makeRequest(++id, 5200, 100), clock.now()).decode == "d1" ? 1 : 0;
+    CHECK(atRefusing == 0);
     clock.advance(milliseconds(200));
-    CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1");
-    // Refused again, it is left alone for longer; served once, it starts anew.
+    CHECK(planner.place("entry", makeRequest(++id, 5200, 100), clock.now()).decode == "d1");
+    // Another refusal lengthens the backoff; a success resets it.
     planner.recordRefusal("d1", clock.now());
     clock.advance(milliseconds(200));
-    CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d2");
+    CHECK(planner.place("entry", makeRequest(++id, 5200, 100), clock.now()).decode == "d2");
     clock.advance(milliseconds(200));
     planner.recordSuccess("d1");
     planner.recordRefusal("d1", clock.now());
     clock.advance(milliseconds(200));
-    CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).decode == "d1");
-    // Where all refuse, the call waits.
+    CHECK(planner.place("entry", makeRequest(++id, 5200, 100), clock.now()).decode == "d1");
+    // If all engines refuse, the call waits.
     planner.recordRefusal("d1", clock.now());
     planner.recordRefusal("d2", clock.now());
-    CHECK(planner.place("entry", askOf(++id, 5200, 100), clock.now()).full);
+    CHECK(planner.place("entry", makeRequest(++id, 5200, 100), clock.now()).full);
 }
--- a/Tests/Scheduling/PlacementQueueTest.cpp
+++ b/Tests/Scheduling/PlacementQueueTest.cpp
@@ -1,8 +1,6 @@
-// What callers see: at twice the load that fits, many wait two thirds of a second only to be refused, come back together a
-// second later, and are refused again; many who are served are served too late.
-// What happens: calls wait to the end of their patience, whether or not engines can be free by then.
-// Why it must not: a call that can't start in time takes the place of one that could; who is refused should know at once,
-// and come back when there is room.
+// At twice the load that fits, calls used up their whole wait before they were refused, retried together a second
+// later and were refused again, while many of those served were late. Calls that can't start in time must be refused
+// at once, with staggered retry times, so that they don't take the place of calls that can.
 #include "scheduling/placement_queue.h"
 #include <catch2/catch.hpp>
 
@@ -13,22 +11,22 @@
 constexpr std::uint64_t promptTokens = 5200;
 constexpr std::uint64_t outputTokens = 400;
 constexpr milliseconds target { 900 };
-/// What engines of the test do: 50 tokens read and a tenth of a token generated in a millisecond.
-constexpr milliseconds reading { 104 };
-constexpr milliseconds generating { 4000 };
-constexpr milliseconds firstEvent { 150 };
+/// Speed of the simulated engines: 50 tokens prefilled and a tenth of a token generated per millisecond.
+constexpr milliseconds prefillTime { 104 };
+constexpr milliseconds generationTime { 4000 };
+constexpr milliseconds firstEventDelay { 150 };
 
-class busy_engines {
+class engine_simulation {
 public:
-    busy_engines()
+    engine_simulation()
     {
         for (int i = 0; i < 4; ++i)
-            takeEngine("d" + std::to_string(i), wire::STAGE_DECODE);
-        takeEngine("p1", wire::STAGE_PREFILL);
-        takeEngine("p2", wire::STAGE_PREFILL);
+            addEngine("d" + std::to_string(i), wire::STAGE_DECODE);
+        addEngine("p1", wire::STAGE_PREFILL);
+        addEngine("p2", wire::STAGE_PREFILL);
     }
 
-    void takeEngine(const std::string& id, wire::endpoint_stage stage)
+    void addEngine(const std::string& id, wire::endpoint_stage stage)
     {
         wire::endpoint_row row;
         auto& report = *row.mutable_report();
@@ -42,21 +40,21 @@
 
     void submit()
     {
-        queued_request question;
-        question.ticket = ++lastTicket;
-        question.entry = "entry";
-        question.request.callId = question.ticket;
-        question.request.service = "llm";
-        question.request.promptTokens = promptTokens;
-        question.request.outputTokens = outputTokens;
-        question.request.memoryTokens = memoryTokens;
-        question.waitDeadline = clock.now() + target * 7 / 10;
-        question.firstEventDeadline = clock.now() + target;
-        askedAt[question.ticket] = clock.now();
-        queue.add(std::move(question));
+        queued_request queued;
+        queued.ticket = ++lastTicket;
+        queued.entry = "entry";
+        queued.request.callId = queued.ticket;
+        queued.request.service = "llm";
+        queued.request.promptTokens = promptTokens;
+        queued.request.outputTokens = outputTokens;
+        queued.request.memoryTokens = memoryTokens;
+        queued.waitDeadline = clock.now() + target * 7 / 10;
+        queued.firstEventDeadline = clock.now() + target;
+        submittedAt[queued.ticket] = clock.now();
+        queue.add(std::move(queued));
     }
 
-    /// Lets the queue decide, and ends calls that have run their time.
+    /// Completes the calls whose time is up and processes the queue.
     std::vector<placement_result> step()
     {
         for (auto it = running.begin(); it != running.end();) {
@@ -64,107 +62,107 @@
                 ++it;
                 continue;
             }
-            planner.release("entry", it->first, { outputTokens, generating, promptTokens, reading, firstEvent });
+            planner.release("entry", it->first, { outputTokens, generationTime, promptTokens, prefillTime, firstEventDelay });
             it = running.erase(it);
         }
-        auto verdicts = queue.step(planner, clock.now());
-        for (const auto& one : verdicts) {
-            if (!one.placement.full)
-                running[one.ticket] = clock.now() + reading + firstEvent + generating;
+        auto results = queue.step(planner, clock.now());
+        for (const auto& result : results) {
+            if (!result.placement.full)
+                running[result.ticket] = clock.now() + prefillTime + firstEventDelay + generationTime;
         }
-        return verdicts;
+        return results;
     }
 
     manual_clock_source clock;
     engine_planner planner { 7 };
     placement_queue queue;
     std::uint64_t lastTicket = 0;
-    std::map<std::uint64_t, time_point> askedAt;
+    std::map<std::uint64_t, time_point> submittedAt;
     std::map<std::uint64_t, time_point> running;
 };
 }
 
 namespace {
-/// What came of calls at a load that stays the same.
+/// Outcomes of calls at constant load.
 struct load_outcome {
-    double servedASecond = 0;
+    double servedPerSecond = 0;
     int late = 0;
     int refused = 0;
-    int heldInVain = 0;
-    std::vector<milliseconds> returns;
+    int refusedLate = 0;
+    std::vector<milliseconds> retryDelays;
 };
 
-load_outcome play(double callsASecond)
+load_outcome simulateLoad(double callsPerSecond)
 {
-    constexpr int stepsASecond = 100;
-    constexpr int learning = 10 * stepsASecond;
-    constexpr int measured = 30 * stepsASecond;
-    constexpr double gentle = 6;
-    busy_engines engines;
+    constexpr int stepsPerSecond = 100;
+    constexpr int warmUp = 10 * stepsPerSecond;
+    constexpr int measured = 30 * stepsPerSecond;
+    constexpr double lightLoad = 6;
+    engine_simulation engines;
     load_outcome outcome;
-    double due = 0;
-    for (int at = 0; at < learning + measured; ++at) {
-        // What fits easily comes first, so that engines' figures are learnt.
-        due += (at < learning / 2 ? gentle : callsASecond) / stepsASecond;
-        for (; due >= 1; due -= 1)
+    double dueCalls = 0;
+    for (int at = 0; at < warmUp + measured; ++at) {
+        // A light load first, to train the speed model.
+        dueCalls += (at < warmUp / 2 ? lightLoad : callsPerSecond) / stepsPerSecond;
+        for (; dueCalls >= 1; dueCalls -= 1)
             engines.submit();
-        for (const auto& one : engines.step()) {
-            auto waited = std::chrono::duration_cast<milliseconds>(engines.clock.now() - engines.askedAt[one.ticket]);
-            if (at < learning)
+        for (const auto& result : engines.step()) {
+            auto waited = std::chrono::duration_cast<milliseconds>(engines.clock.now() - engines.submittedAt[result.ticket]);
+            if (at < warmUp)
                 continue;
-            if (!one.placement.full) {
-                outcome.servedASecond += static_cast<double>(stepsASecond) / measured;
-                outcome.late += waited + reading + firstEvent > target ? 1 : 0;
+            if (!result.placement.full) {
+                outcome.servedPerSecond += static_cast<double>(stepsPerSecond) / measured;
+                outcome.late += waited + prefillTime + firstEventDelay > target ? 1 : 0;
                 continue;
             }
             ++outcome.refused;
-            outcome.heldInVain += waited > target / 8 ? 1 : 0;
-            outcome.returns.push_back(one.retryAfter);
+            outcome.refusedLate += waited > target / 8 ? 1 : 0;
+            outcome.retryDelays.push_back(result.retryAfter);
         }
-        engines.clock.advance(milliseconds(1000 / stepsASecond));
+        engines.clock.advance(milliseconds(1000 / stepsPerSecond));
     }
     return outcome;
 }
 }
 
-TEST_CASE("At two and three times the load that fits, calls are served in time or refused at once, and engines stay full")
+TEST_CASE("At two and three times the capacity, calls are served in time or refused at once, and engines stay full")
 {
-    // A few more than fit find the engines full at all times.
-    auto best = play(10);
+    // Slightly more calls than fit keep the engines full at all times.
+    auto best = simulateLoad(10);
     for (double load : { 2.0, 3.0 }) {
-        auto outcome = play(load * best.servedASecond);
-        CHECK(outcome.servedASecond > 0.9 * best.servedASecond);
+        auto outcome = simulateLoad(load * best.servedPerSecond);
+        CHECK(outcome.servedPerSecond > 0.9 * best.servedPerSecond);
         CHECK(outcome.late == 0);
         REQUIRE(outcome.refused > 0);
-        // Most know at once.
-        CHECK(outcome.heldInVain < outcome.refused / 4);
-        auto [soonest, latest] = std::minmax_element(outcome.returns.begin(), outcome.returns.end());
+        // Most are refused at once.
+        CHECK(outcome.refusedLate < outcome.refused / 4);
+        auto [soonest, latest] = std::minmax_element(outcome.retryDelays.begin(), outcome.retryDelays.end());
         CHECK(*soonest >= milliseconds(1200));
         CHECK(*latest <= milliseconds(4500));
     }
 }
 
-TEST_CASE("Those refused together are told to come back one after the other")
+TEST_CASE("Calls refused together get staggered retry times")
 {
-    busy_engines engines;
+    engine_simulation engines;
     while (true) {
         engines.submit();
-        auto verdicts = engines.step();
-        if (verdicts.empty() || verdicts.front().placement.full)
+        auto results = engines.step();
+        if (results.empty() || results.front().placement.full)
             break;
     }
     for (int i = 0; i < 20; ++i)
         engines.submit();
     engines.clock.advance(target);
-    std::set<milliseconds> returns;
-    for (const auto& one : engines.step())
-        returns.insert(one.retryAfter);
-    CHECK(returns.size() > 3);
+    std::set<milliseconds> retryDelays;
+    for (const auto& result : engines.step())
+        retryDelays.insert(result.retryAfter);
+    CHECK(retryDelays.size() > 3);
 }
 
-TEST_CASE("A stream that has begun goes before calls that have not, and waits to the end of its patience")
+TEST_CASE("A started stream goes before other calls and waits until its deadline")
 {
-    busy_engines engines;
+    engine_simulation engines;
     std::uint64_t last = 0;
     while (true) {
         engines.submit();
@@ -173,23 +171,23 @@
             break;
         REQUIRE(last < 100);
     }
-    queued_request begun;
-    begun.ticket = 1000;
-    begun.entry = "entry";
-    begun.request = { .callId = 1000, .service = "llm", .dataCentre = {}, .promptTokens = promptTokens, .outputTokens = outputTokens, .memoryTokens = memoryTokens, .exclude = {}, .avoid = {} };
-    begun.waitDeadline = engines.clock.now() + milliseconds(1000);
-    begun.firstEventDeadline = engines.clock.now();
-    begun.streamStarted = true;
-    engines.queue.add(begun);
-    for (const auto& one : engines.step())
-        CHECK(one.ticket != 1000);
-    // One call ends: its place is the stream's.
+    queued_request stream;
+    stream.ticket = 1000;
+    stream.entry = "entry";
+    stream.request = { .callId = 1000, .service = "llm", .dataCentre = {}, .promptTokens = promptTokens, .outputTokens = outputTokens, .memoryTokens = memoryTokens, .exclude = {}, .avoid = {} };
+    stream.waitDeadline = engines.clock.now() + milliseconds(1000);
+    stream.firstEventDeadline = engines.clock.now();
+    stream.streamStarted = true;
+    engines.queue.add(stream);
+    for (const auto& result : engines.step())
+        CHECK(result.ticket != 1000);
+    // When a call ends, the stream takes its place.
     engines.clock.advance(milliseconds(10));
     engines.running.begin()->second = engines.clock.now();
-    auto verdicts = engines.step();
-    REQUIRE_FALSE(verdicts.empty());
-    CHECK(verdicts.front().ticket == 1000);
-    CHECK_FALSE(verdicts.front().placement.full);
+    auto results = engines.step();
+    REQUIRE_FALSE(results.empty());
+    CHECK(results.front().ticket == 1000);
+    CHECK_FALSE(results.front().placement.full);
     engines.queue.removeEntry("entry");
     CHECK(engines.queue.empty());
 }
--- a/Tests/Scheduling/PoolTest.cpp
+++ b/Tests/Scheduling/PoolTest.cpp
@@ -5,11 +5,11 @@
 using namespace pistachiolatch;
 
 namespace {
-/// A pool with endpoints and a clock, driven by hand.
-class pool_bench {
+/// A pool with endpoints and a manual clock.
+class pool_fixture {
 public:
-    explicit pool_bench(pool_settings settings = {}, pool_kind kind = pool_kind::Model)
-        : decisions(kind == pool_kind::Model ? "model:m" : "service:s", kind, std::move(settings), {})
+    explicit pool_fixture(pool_settings settings = {}, pool_kind kind = pool_kind::Model)
+        : testedPool(kind == pool_kind::Model ? "model:m" : "service:s", kind, std::move(settings), {})
     {
     }
     void announce(const std::string& id, const std::string& role, std::uint32_t slots = 2, std::uint64_t incarnation = 1)
@@ -26,12 +26,12 @@
         endpoint.set_step_us(10000);
         endpoint.set_link_mbps(10000);
         endpoint.set_kv_bytes_per_token(1000);
-        decisions.handleAnnouncement(endpoint, milliseconds(0), clock.now());
+        testedPool.handleAnnouncement(endpoint, milliseconds(0), clock.now());
     }
     void place(const std::string& id, const std::string& organisation = "alpha", std::uint32_t prompt = 100, std::uint32_t patience = 5000, std::uint32_t attempt = 0)
     {
         pool_request request;
-        request.place.set_shard(decisions.shard());
+        request.place.set_shard(testedPool.shard());
         request.place.set_request_id(id);
         request.place.set_attempt(attempt);
         request.place.set_organisation(organisation);
@@ -41,7 +41,7 @@
         request.place.set_fingerprint(fingerprint);
         request.entryName = "vm1";
         request.entryIncarnation = 1;
-        decisions.submit(std::move(request), clock.now());
+        testedPool.submit(std::move(request), clock.now());
     }
     void progress(const std::string& id, wire::progress_stage stage, const std::string& endpoint = "")
     {
@@ -49,17 +49,18 @@
         report.set_request_id(id);
         report.set_stage(stage);
         report.set_endpoint(endpoint);
-        decisions.handleProgress(report, clock.now());
+        testedPool.handleProgress(report, clock.now());
     }
-    std::vector<std::string> step(milliseconds passed = milliseconds(0))
+    /// Advances the clock. Returns the request ids of the decisions, those refused with "!" and the reason.
+    std::vector<std::string> step(milliseconds elapsed = milliseconds(0))
     {
-        clock.advance(passed);
+        clock.advance(elapsed);
         std::vector<std::string> ids;
-        for (const auto& decision : decisions.schedule(clock.now()))
+        for (const auto& decision : testedPool.schedule(clock.now()))
             ids.push_back(decision.placement.request_id() + (decision.placement.refused().empty() ? "" : "!" + decision.placement.refused()));
         return ids;
     }
-    pool decisions;
+    pool testedPool;
     manual_clock_source clock;
     std::uint64_t fingerprint = 1;
 
@@ -69,84 +70,84 @@
 using ids = std::vector<std::string>;
 }
 
-// Decode engines are full. A prefill that starts now would expire before a slot frees, and its work be lost; it
-// must wait until a slot is surely free when the transfer ends.
+// While decode engines are full, the result of a prefill would expire before a slot is free. The prefill must wait
+// until a slot is certainly free at the end of the transfer.
 TEST_CASE("A prefill starts only when its decode slot will be free")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 1);
-    bench.place("r1");
-    CHECK(bench.step() == ids { "r1" });
-    bench.progress("r1", wire::STAGE_PREFILLED);
-    bench.progress("r1", wire::STAGE_TRANSFERRED);
-    bench.place("r2");
-    CHECK(bench.step(milliseconds(500)).empty());
-    // r1 has made all its tokens at the latest after 101 steps of 10 ms; the prefill of r2 takes 12 ms and is begun before.
-    CHECK(bench.step(milliseconds(500)) == ids { "r2" });
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 1);
+    fixture.place("r1");
+    CHECK(fixture.step() == ids { "r1" });
+    fixture.progress("r1", wire::STAGE_PREFILLED);
+    fixture.progress("r1", wire::STAGE_TRANSFERRED);
+    fixture.place("r2");
+    CHECK(fixture.step(milliseconds(500)).empty());
+    // r1 ends after at most 101 steps of 10 ms; the prefill of r2 takes 12 ms and may start before.
+    CHECK(fixture.step(milliseconds(500)) == ids { "r2" });
 }
 
 TEST_CASE("An end reported early frees the slot at once")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 1);
-    bench.place("r1");
-    bench.step();
-    bench.progress("r1", wire::STAGE_PREFILLED);
-    bench.place("r2");
-    CHECK(bench.step().empty());
-    bench.progress("r1", wire::STAGE_FINISHED);
-    CHECK(bench.step() == ids { "r2" });
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 1);
+    fixture.place("r1");
+    fixture.step();
+    fixture.progress("r1", wire::STAGE_PREFILLED);
+    fixture.place("r2");
+    CHECK(fixture.step().empty());
+    fixture.progress("r1", wire::STAGE_FINISHED);
+    CHECK(fixture.step() == ids { "r2" });
 }
 
-// One organisation floods the pool. A neighbour's request that comes later must not stand behind the flood.
-TEST_CASE("A flood of one organisation does not hold up another")
+// When one organisation floods the pool, a later request of another must not queue behind the flood.
+TEST_CASE("A flood from one organisation does not delay another")
 {
     bool fair = GENERATE(true, false);
     pool_settings settings;
     settings.fair = fair;
     settings.admission = false;
-    pool_bench bench(settings);
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 4);
+    pool_fixture fixture(settings);
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 4);
     for (int i = 0; i < 50; ++i)
-        bench.place("flood" + std::to_string(i), "alpha", 1000);
-    bench.step();
-    bench.place("neighbour", "beta", 100);
+        fixture.place("flood" + std::to_string(i), "alpha", 1000);
+    fixture.step();
+    fixture.place("neighbour", "beta", 100);
     std::size_t before = 0;
     for (; before < 60; ++before) {
-        bench.progress("flood" + std::to_string(before), wire::STAGE_PREFILLED);
-        bench.progress("flood" + std::to_string(before), wire::STAGE_FINISHED);
-        auto placed = bench.step(milliseconds(100));
+        fixture.progress("flood" + std::to_string(before), wire::STAGE_PREFILLED);
+        fixture.progress("flood" + std::to_string(before), wire::STAGE_FINISHED);
+        auto placed = fixture.step(milliseconds(100));
         if (std::find(placed.begin(), placed.end(), "neighbour") != placed.end())
             break;
     }
     CHECK((before <= 2) == fair);
 }
 
-// A copy of a request (its answer was lost) gets what the first got, and its place in the queue.
-TEST_CASE("Asking again books nothing twice")
+// A request that is repeated because its response was lost gets the same placement, or keeps its place in the queue.
+TEST_CASE("A repeated request causes no second reservation")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 1);
-    bench.place("r1");
-    CHECK(bench.step() == ids { "r1" });
-    bench.place("r1");
-    CHECK(bench.step() == ids { "r1" });
-    CHECK(bench.decisions.endpoints().inFlight() == 1);
-    bench.place("r2");
-    bench.place("r3");
-    bench.place("r2");
-    CHECK(bench.decisions.waiting() == 2);
-    bench.progress("r2", wire::STAGE_WITHDRAWN);
-    CHECK(bench.decisions.waiting() == 1);
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 1);
+    fixture.place("r1");
+    CHECK(fixture.step() == ids { "r1" });
+    fixture.place("r1");
+    CHECK(fixture.step() == ids { "r1" });
+    CHECK(fixture.testedPool.endpoints().inFlight() == 1);
+    fixture.place("r2");
+    fixture.place("r3");
+    fixture.place("r2");
+    CHECK(fixture.testedPool.waiting() == 2);
+    fixture.progress("r2", wire::STAGE_WITHDRAWN);
+    CHECK(fixture.testedPool.waiting() == 1);
 }
 
-// Late work of a heavy organisation is served out of turn, from its share. Charged like the rest, it carried virtual time
-// far ahead, and an organisation that came newly waited behind everybody's backlog.
-TEST_CASE("Late work does not push newcomers back")
+// Late requests are served out of turn, from their share. If they are charged to virtual time, it advances so far that
+// an organisation that becomes active waits behind the backlog of all others.
+TEST_CASE("Late requests do not delay an organisation that becomes active")
 {
     fair_queue queue({ true, 50 });
     auto push = [&](const std::string& id, const std::string& organisation, std::uint32_t tokens) {
@@ -166,32 +167,32 @@
     queue.take("steady0", 0);
     push("new", "gamma", 100);
     CHECK(queue.heads().front()->place.request_id() == "new");
-    CHECK(queue.late() == 5);
+    CHECK(queue.lateCount() == 5);
 }
 
-// A request that can't be on time any more lets one go first that can, and still gets its share.
+// A request that can no longer be on time yields to those that can, but still gets its share.
 TEST_CASE("A late request yields and is not starved")
 {
     pool_settings settings;
     settings.lateSharePercent = 20;
-    pool_bench bench(settings);
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 50);
+    pool_fixture fixture(settings);
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 50);
     for (const char* id : { "long1", "long2", "long3" })
-        bench.place(id, "alpha", 9000, 60000);
-    CHECK(bench.step() == ids { "long1", "long2" });
+        fixture.place(id, "alpha", 9000, 60000);
+    CHECK(fixture.step() == ids { "long1", "long2" });
     std::vector<std::string> running { "long1", "long2" };
     int placedBefore = 0;
     bool lateServed = false;
     for (int i = 0; i < 200 && !lateServed; ++i) {
-        // More comes than the engine takes, so that there is always one that can still be on time.
+        // Submit more than the engine can take, so that there is always a request that can still be on time.
         for (int j = 0; j < 3; ++j)
-            bench.place(fmt::format("short{}-{}", i, j), "beta", 500);
+            fixture.place(fmt::format("short{}-{}", i, j), "beta", 500);
         for (const auto& id : running) {
-            bench.progress(id, wire::STAGE_PREFILLED);
-            bench.progress(id, wire::STAGE_FINISHED);
+            fixture.progress(id, wire::STAGE_PREFILLED);
+            fixture.progress(id, wire::STAGE_FINISHED);
         }
-        running = bench.step(milliseconds(60));
+        running = fixture.step(milliseconds(60));
         lateServed = std::find(running.begin(), running.end(), "long3") != running.end();
         placedBefore += lateServed ? 0 : static_cast<int>(running.size());
     }
@@ -199,27 +200,27 @@
     CHECK(placedBefore > 5);
 }
 
-TEST_CASE("What can't start in time is refused at once with a time to come back")
+TEST_CASE("A request that can't start in time is refused on arrival")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 50);
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 50);
     for (int i = 0; i < 30; ++i)
-        bench.place("r" + std::to_string(i), "alpha", 10000, 20000);
-    bench.step();
-    bench.place("late", "alpha", 100, 500);
-    auto decided = bench.step();
+        fixture.place("r" + std::to_string(i), "alpha", 10000, 20000);
+    fixture.step();
+    fixture.place("late", "alpha", 100, 500);
+    auto decided = fixture.step();
     CHECK(decided == ids { "late!deadline_unreachable" });
-    bench.place("none", "alpha", 100, 500);
-    bench.clock.advance(milliseconds(4000));
-    bench.decisions.expireEndpoints(bench.clock.now());
-    bench.place("nobody");
-    auto refused = bench.step();
+    fixture.place("none", "alpha", 100, 500);
+    fixture.clock.advance(milliseconds(4000));
+    fixture.testedPool.expireEndpoints(fixture.clock.now());
+    fixture.place("nobody");
+    auto refused = fixture.step();
     CHECK(std::find(refused.begin(), refused.end(), "nobody!no_endpoint") != refused.end());
 }
 
-// An endpoint fails every call. After three failures it gets nothing for a while, then exactly one trial.
-TEST_CASE("A failing endpoint gets one trial at a time")
+// After three failures an endpoint gets no work for a second, then a single probe.
+TEST_CASE("A failing endpoint gets one probe at a time")
 {
     manual_clock_source clock;
     circuit_breaker breaker;
@@ -236,7 +237,7 @@
     CHECK(breaker.allows("d1", clock.now()));
 }
 
-TEST_CASE("Retries are bounded by a share of the successes")
+TEST_CASE("Retries are limited to a share of the successes")
 {
     retry_budget budget;
     int allowed = 0;
@@ -250,13 +251,13 @@
     CHECK(!budget.tryRetry());
 }
 
-// The owner of a pool is lost; the new one knows nothing. What entries report fills its books, so that engines that
-// are full get no more.
-TEST_CASE("A new owner books what entries hold")
+// The new owner of a pool starts without state. It must restore the reservations that entries report, or it places
+// requests on full engines.
+TEST_CASE("A new owner restores the reservations that entries hold")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("d1", "decode", 1);
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("d1", "decode", 1);
     wire::held_report report;
     auto* held = report.add_held();
     held->set_request_id("old");
@@ -264,52 +265,52 @@
     held->set_decode_id("d1");
     held->set_max_tokens(100);
     held->set_prefilled(true);
-    bench.decisions.restoreReservations(report, "vm1", 1, bench.clock.now());
-    bench.place("r1");
-    CHECK(bench.step().empty());
-    // The entry dies: its live list no longer holds it, and its booking goes.
-    wire::live_process other;
-    other.set_name("vm1");
-    other.set_incarnation(1);
-    other.set_kind(wire::PROCESS_ENTRY);
-    bench.decisions.removeDeadEntries({ other }, bench.clock.now());
-    CHECK(bench.decisions.endpoints().inFlight() == 1);
-    bench.decisions.removeDeadEntries({}, bench.clock.now());
-    CHECK(bench.decisions.endpoints().inFlight() == 0);
-    CHECK(bench.decisions.waiting() == 0);
+    fixture.testedPool.restoreReservations(report, "vm1", 1, fixture.clock.now());
+    fixture.place("r1");
+    CHECK(fixture.step().empty());
+    // When the entry is no longer in the list of live processes, its reservation is removed.
+    wire::live_process entry;
+    entry.set_name("vm1");
+    entry.set_incarnation(1);
+    entry.set_kind(wire::PROCESS_ENTRY);
+    fixture.testedPool.removeDeadEntries({ entry }, fixture.clock.now());
+    CHECK(fixture.testedPool.endpoints().inFlight() == 1);
+    fixture.testedPool.removeDeadEntries({}, fixture.clock.now());
+    CHECK(fixture.testedPool.endpoints().inFlight() == 0);
+    CHECK(fixture.testedPool.waiting() == 0);
 }
 
-// Copies of a request that has crashed one endpoint run one at a time, so that a second crash is seen before a third
-// endpoint is risked.
-TEST_CASE("A suspect runs alone and is blocked at the second crash")
+// Copies of a request that has crashed one endpoint must run one at a time, so that a second crash is detected before
+// a third endpoint is at risk.
+TEST_CASE("A request suspected of a crash runs alone and is blocked after the second")
 {
-    pool_bench bench;
-    bench.announce("p1", "prefill");
-    bench.announce("p2", "prefill");
-    bench.announce("d1", "decode", 10);
+    pool_fixture fixture;
+    fixture.announce("p1", "prefill");
+    fixture.announce("p2", "prefill");
+    fixture.announce("d1", "decode", 10);
     wire::crash_report report;
     report.set_fingerprint(1);
     report.set_endpoint("p9");
     report.set_request_id("first");
-    bench.decisions.handleCrashReport(report, bench.clock.now());
-    bench.place("r1");
-    bench.place("r2");
-    CHECK(bench.step() == ids { "r1" });
+    fixture.testedPool.handleCrashReport(report, fixture.clock.now());
+    fixture.place("r1");
+    fixture.place("r2");
+    CHECK(fixture.step() == ids { "r1" });
     report.set_request_id("r1");
-    bench.decisions.handleCrashReport(report, bench.clock.now());
-    bench.progress("r1", wire::STAGE_FAILED);
-    CHECK(bench.step() == ids { "r2!poison_request" });
+    fixture.testedPool.handleCrashReport(report, fixture.clock.now());
+    fixture.progress("r1", wire::STAGE_FAILED);
+    CHECK(fixture.step() == ids { "r2!poison_request" });
 }
 
 TEST_CASE("Service calls go to the endpoint with the fewest calls and wait when all are full")
 {
-    pool_bench bench({}, pool_kind::Service);
-    bench.announce("s1", "service", 1);
-    bench.announce("s2", "service", 1);
-    bench.place("r1");
-    bench.place("r2");
-    bench.place("r3");
-    CHECK(bench.step().size() == 2);
-    bench.progress("r1", wire::STAGE_FINISHED);
-    CHECK(bench.step() == ids { "r3" });
+    pool_fixture fixture({}, pool_kind::Service);
+    fixture.announce("s1", "service", 1);
+    fixture.announce("s2", "service", 1);
+    fixture.place("r1");
+    fixture.place("r2");
+    fixture.place("r3");
+    CHECK(fixture.step().size() == 2);
+    fixture.progress("r1", wire::STAGE_FINISHED);
+    CHECK(fixture.step() == ids { "r3" });
 }
