--- a/Source/routing/configuration.h
+++ b/Source/routing/configuration.h
@@ -6,13 +6,13 @@
 
 namespace pistachiolatch {
 
-/// What a call to a route is, which says what may be repeated.
+/// Kind of a route's calls, which determines whether they may be retried.
 enum class call_kind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of the caller.
+    /// Runs at most once per attempt of the caller.
     NonIdempotent,
-    /// Answered by server-sent events; at most once, unless the route lets a stream be resumed.
+    /// Answered by server-sent events; runs at most once, unless the route allows streams to be resumed.
     Stream,
 };
 
@@ -27,35 +27,35 @@
     /// Begins and ends with a slash.
     std::string pathPrefix;
     call_kind kind = call_kind::NonIdempotent;
-    /// Whether a stream may go on at another endpoint after the last whole event.
+    /// Whether a stream may continue at another endpoint after its last complete event.
     bool resumable = false;
-    /// Whether a key is not needed.
+    /// Whether callers need no API key.
     bool isPublic = false;
-    /// The longest time that a caller is kept waiting.
+    /// Maximum duration of a call.
     milliseconds timeout { 0 };
-    /// The time within which an answer, or a stream's first event, is as good as it gets.
+    /// Target for the time to the answer or to a stream's first event; faster brings no benefit.
     milliseconds latencyTarget { 0 };
-    /// The longest pause between two events that callers are content with.
+    /// Target for the longest gap between two events of a stream.
     milliseconds gapTarget { 0 };
     unsigned priority = 0;
-    /// Endpoints at which one attempt of a caller may run.
+    /// Maximum number of endpoints at which one attempt of a caller may run.
     unsigned maxEndpoints = 1;
     std::vector<weighted_service> services;
 };
 
-/// What the endpoints of a service are, where they are model engines.
+/// Properties of a service's endpoints if they are model engines.
 struct engine_config {
     unsigned slots = 0;
     std::uint64_t memoryTokens = 0;
-    /// Tokens that one event of a stream stands for.
+    /// Number of tokens per event of a stream.
     unsigned tokensPerEvent = 1;
-    /// How long a prefill's result is kept for a decode endpoint to fetch it.
+    /// How long the result of a prefill is kept until a decode endpoint fetches it.
     milliseconds handleLifetime { 0 };
 };
 
 struct service_config {
     std::string name;
-    /// Connections that each endpoint takes from all entries together.
+    /// Maximum number of connections per endpoint from all entries together.
     unsigned maxConnections = 0;
     std::optional<engine_config> engine;
 };
@@ -63,17 +63,18 @@
 struct organisation_config {
     std::string name;
     std::vector<std::string> keys;
-    /// Goes before the priority of the route.
+    /// Overrides the priority of the route.
     std::optional<unsigned> priority;
-    /// Tokens a second and at once, over all entries; no limit when the rate is 0.
+    /// Tokens per second and burst size in tokens, over all entries; a rate of 0 means no limit.
     std::uint64_t rate = 0;
     std::uint64_t burst = 0;
-    /// Whether a call counts by its tokens, and what one that names none counts.
+    /// Whether a call costs its prompt and output tokens; otherwise it costs 1.
     bool limitsTokens = false;
+    /// Cost of a call that states no token counts.
     std::uint64_t plainTokens = 1;
 };
 
-/// What a caller may send and how long it may take.
+/// Size limits and timeouts for callers' requests and connections.
 struct caller_limits {
     std::uint32_t headerBytes = 16384;
     std::uint64_t bodyBytes = 4194304;
@@ -81,7 +82,7 @@
     milliseconds idleTimeout { 15000 };
 };
 
-/// One whole configuration.
+/// A complete configuration.
 struct configuration {
     std::uint64_t version = 0;
     std::vector<route_config> routes;
--- a/Source/routing/configuration_check.h
+++ b/Source/routing/configuration_check.h
@@ -3,8 +3,8 @@
 
 namespace pistachiolatch {
 
-/// Whether the configuration can be put in force. Errors: the first fault found, naming the route, service or
-/// organisation and what to correct. Thread safety: any thread.
+/// Validates a configuration before it is applied. Returns the first error found, which names the route, service or
+/// organisation and the correction. Thread safety: any thread.
 result<void> validateConfiguration(const configuration& candidate);
 
 } // namespace pistachiolatch
--- a/Source/routing/route_table.cpp
+++ b/Source/routing/route_table.cpp
@@ -21,7 +21,7 @@
     if (routes == m_routes.end())
         return nullptr;
     path = path.substr(0, path.find('?'));
-    // Every prefix ends with a slash, so there are only as many candidates as the path has slashes.
+    // Every prefix ends with a slash, so each slash of the path yields one candidate.
     for (auto end = path.rfind('/'); end != std::string_view::npos; end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
         auto found = routes->second.find(std::string(path.substr(0, end + 1)));
         if (found != routes->second.end())
@@ -47,13 +47,13 @@
     double total = 0;
     for (const auto& target : route.services)
         total += target.weight;
-    double left = number * total;
+    double remaining = number * total;
     for (const auto& target : route.services) {
-        left -= target.weight;
-        if (left < 0)
+        remaining -= target.weight;
+        if (remaining < 0)
             return target.service;
     }
-    // Rounding may leave the last step undone; the last service with a weight is meant then.
+    // Due to rounding the loop may end without a result; the last service with a weight is the right one then.
     for (auto it = route.services.rbegin(); it != route.services.rend(); ++it) {
         if (it->weight > 0)
             return it->service;
--- a/Source/routing/route_table.h
+++ b/Source/routing/route_table.h
@@ -5,19 +5,19 @@
 
 namespace pistachiolatch {
 
-/// A configuration made ready for look-ups. Immutable once built, so any thread may read it.
+/// Indexes a configuration for lookups. Immutable, so any thread may read it.
 class route_table {
 public:
-    /// Precondition: validateConfiguration() accepted it.
+    /// Precondition: validateConfiguration() accepts the configuration.
     explicit route_table(configuration source);
 
-    /// The route of that host with the longest prefix of the path; null when there is none. A query after the path
-    /// is not part of it, nor is a port after the host.
+    /// The route of the host with the longest matching path prefix; null if there is none. A query in the path and a
+    /// port in the host are ignored.
     const route_config* find(std::string_view host, std::string_view path) const;
-    /// The organisation that holds the key; null when none does.
+    /// The organisation that owns the API key; null if there is none.
     const organisation_config* findOrganisation(const std::string& key) const;
     const service_config* findService(const std::string& name) const;
-    /// Whether callers need keys at all.
+    /// Whether callers need API keys, except on public routes.
     bool requiresKeys() const { return !m_source.organisations.empty(); }
     const configuration& source() const { return m_source; }
     std::uint64_t version() const { return m_source.version; }
@@ -29,7 +29,8 @@
     std::unordered_map<std::string, std::size_t> m_services;
 };
 
-/// The service that a number in [0, 1) falls on by the weights. Precondition: the weights don't add up to 0.
+/// Maps a number in [0, 1) to one of the route's services in proportion to their weights. Precondition: the weights
+/// don't add up to 0.
 const std::string& chooseService(const route_config& route, double number);
 
 } // namespace pistachiolatch
