--- /dev/null
+++ b/Tests/Scheduling/PlacementQueueTest.cpp
@@ -0,0 +1,193 @@
+// At twice the load that fits, calls used up their whole wait before they were refused, retried together a second
+// later and were refused again, while many of those served were late. Calls that can't start in time must be refused
+// at once, with staggered retry times, so that they don't take the place of calls that can.
+#include "scheduling/placement_queue.h"
+#include <catch2/catch.hpp>
+
+using namespace pistachiolatch;
+
+namespace {
+constexpr std::uint64_t memoryTokens = 57'000;
+constexpr std::uint64_t promptTokens = 5200;
+constexpr std::uint64_t outputTokens = 400;
+constexpr milliseconds target { 900 };
+/// Speed of the simulated engines: 50 tokens prefilled and a tenth of a token generated per millisecond.
+constexpr milliseconds prefillTime { 104 };
+constexpr milliseconds generationTime { 4000 };
+constexpr milliseconds firstEventDelay { 150 };
+
+class engine_simulation {
+public:
+    engine_simulation()
+    {
+        for (int i = 0; i < 4; ++i)
+            addEngine("d" + std::to_string(i), wire::STAGE_DECODE);
+        addEngine("p1", wire::STAGE_PREFILL);
+        addEngine("p2", wire::STAGE_PREFILL);
+    }
+
+    void addEngine(const std::string& id, wire::endpoint_stage stage)
+    {
+        wire::endpoint_row row;
+        auto& report = *row.mutable_report();
+        report.set_id(id);
+        report.set_born_ms(1);
+        report.set_service("llm");
+        report.set_slots(64);
+        report.set_stage(stage);
+        planner.updateEndpoint(row);
+    }
+
+    void submit()
+    {
+        queued_request queued;
+        queued.ticket = ++lastTicket;
+        queued.entry = "entry";
+        queued.request.callId = queued.ticket;
+        queued.request.service = "llm";
+        queued.request.promptTokens = promptTokens;
+        queued.request.outputTokens = outputTokens;
+        queued.request.memoryTokens = memoryTokens;
+        queued.waitDeadline = clock.now() + target * 7 / 10;
+        queued.firstEventDeadline = clock.now() + target;
+        submittedAt[queued.ticket] = clock.now();
+        queue.add(std::move(queued));
+    }
+
+    /// Completes the calls whose time is up and processes the queue.
+    std::vector<placement_result> step()
+    {
+        for (auto it = running.begin(); it != running.end();) {
+            if (clock.now() < it->second) {
+                ++it;
+                continue;
+            }
+            planner.release("entry", it->first, { outputTokens, generationTime, promptTokens, prefillTime, firstEventDelay });
+            it = running.erase(it);
+        }
+        auto results = queue.step(planner, clock.now());
+        for (const auto& result : results) {
+            if (!result.placement.full)
+                running[result.ticket] = clock.now() + prefillTime + firstEventDelay + generationTime;
+        }
+        return results;
+    }
+
+    manual_clock_source clock;
+    engine_planner planner { 7 };
+    placement_queue queue;
+    std::uint64_t lastTicket = 0;
+    std::map<std::uint64_t, time_point> submittedAt;
+    std::map<std::uint64_t, time_point> running;
+};
+}
+
+namespace {
+/// Outcomes of calls at constant load.
+struct load_outcome {
+    double servedPerSecond = 0;
+    int late = 0;
+    int refused = 0;
+    int refusedLate = 0;
+    std::vector<milliseconds> retryDelays;
+};
+
+load_outcome simulateLoad(double callsPerSecond)
+{
+    constexpr int stepsPerSecond = 100;
+    constexpr int warmUp = 10 * stepsPerSecond;
+    constexpr int measured = 30 * stepsPerSecond;
+    constexpr double lightLoad = 6;
+    engine_simulation engines;
+    load_outcome outcome;
+    double dueCalls = 0;
+    for (int at = 0; at < warmUp + measured; ++at) {
+        // A light load first, to train the speed model.
+        dueCalls += (at < warmUp / 2 ? lightLoad : callsPerSecond) / stepsPerSecond;
+        for (; dueCalls >= 1; dueCalls -= 1)
+            engines.submit();
+        for (const auto& result : engines.step()) {
+            auto waited = std::chrono::duration_cast<milliseconds>(engines.clock.now() - engines.submittedAt[result.ticket]);
+            if (at < warmUp)
+                continue;
+            if (!result.placement.full) {
+                outcome.servedPerSecond += static_cast<double>(stepsPerSecond) / measured;
+                outcome.late += waited + prefillTime + firstEventDelay > target ? 1 : 0;
+                continue;
+            }
+            ++outcome.refused;
+            outcome.refusedLate += waited > target / 8 ? 1 : 0;
+            outcome.retryDelays.push_back(result.retryAfter);
+        }
+        engines.clock.advance(milliseconds(1000 / stepsPerSecond));
+    }
+    return outcome;
+}
+}
+
+TEST_CASE("At two and three times the capacity, calls are served in time or refused at once, and engines stay full")
+{
+    // Slightly more calls than fit keep the engines full at all times.
+    auto best = simulateLoad(10);
+    for (double load : { 2.0, 3.0 }) {
+        auto outcome = simulateLoad(load * best.servedPerSecond);
+        CHECK(outcome.servedPerSecond > 0.9 * best.servedPerSecond);
+        CHECK(outcome.late == 0);
+        REQUIRE(outcome.refused > 0);
+        // Most are refused at once.
+        CHECK(outcome.refusedLate < outcome.refused / 4);
+        auto [soonest, latest] = std::minmax_element(outcome.retryDelays.begin(), outcome.retryDelays.end());
+        CHECK(*soonest >= milliseconds(1200));
+        CHECK(*latest <= milliseconds(4500));
+    }
+}
+
+TEST_CASE("Calls refused together get staggered retry times")
+{
+    engine_simulation engines;
+    while (true) {
+        engines.submit();
+        auto results = engines.step();
+        if (results.empty() || results.front().placement.full)
+            break;
+    }
+    for (int i = 0; i < 20; ++i)
+        engines.submit();
+    engines.clock.advance(target);
+    std::set<milliseconds> retryDelays;
+    for (const auto& result : engines.step())
+        retryDelays.insert(result.retryAfter);
+    CHECK(retryDelays.size() > 3);
+}
+
+TEST_CASE("A started stream goes before other calls and waits until its deadline")
+{
+    engine_simulation engines;
+    std::uint64_t last = 0;
+    while (true) {
+        engines.submit();
+        last = engines.lastTicket;
+        if (engines.step().empty())
+            break;
+        REQUIRE(last < 100);
+    }
+    queued_request stream;
+    stream.ticket = 1000;
+    stream.entry = "entry";
+    stream.request = { .callId = 1000, .service = "llm", .dataCentre = {}, .promptTokens = promptTokens, .outputTokens = outputTokens, .memoryTokens = memoryTokens, .exclude = {}, .avoid = {} };
+    stream.waitDeadline = engines.clock.now() + milliseconds(1000);
+    stream.firstEventDeadline = engines.clock.now();
+    stream.streamStarted = true;
+    engines.queue.add(stream);
+    for (const auto& result : engines.step())
+        CHECK(result.ticket != 1000);
+    // When a call ends, the stream takes its place.
+    engines.clock.advance(milliseconds(10));
+    engines.running.begin()->second = engines.clock.now();
+    auto results = engines.step();
+    REQUIRE_FALSE(results.empty());
+    CHECK(results.front().ticket == 1000);
+    CHECK_FALSE(results.front().placement.full);
+    engines.queue.removeEntry("entry");
+    CHECK(engines.queue.empty());
+}
