--- a/Source/coordination/packed_document.cpp
+++ b/Source/coordination/compressed_document.cpp
@@ -1,4 +1,4 @@
-#include "coordination/packed_document.h"
+#include "coordination/compressed_document.h"
 
 #include <memory>
 #include <xxhash.h>
--- a/Source/coordination/control_link.cpp
+++ b/Source/coordination/control_link.cpp
@@ -28,7 +28,7 @@
 }
 
 control_link::control_link(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-    link_settings settings, configuration_decoder decode, endpoint_listener& endpoints)
+    control_link_settings settings, configuration_decoder decode, endpoint_listener& endpoints)
     : m_network(network)
     , m_clock(clock)
     , m_metrics(counters)
@@ -39,7 +39,7 @@
     , m_silenceTimer(context)
     , m_fetchTimer(context)
 {
-    learnControls(m_settings.controls);
+    addControls(m_settings.controls);
 }
 
 void control_link::start()
@@ -69,7 +69,7 @@
     m_leaving = true;
 }
 
-void control_link::learnControls(const std::vector<std::string>& addresses)
+void control_link::addControls(const std::vector<std::string>& addresses)
 {
     m_controls.insert(addresses.begin(), addresses.end());
 }
@@ -156,7 +156,7 @@
     const auto& update = reply->entry_update();
     auto took = std::chrono::duration_cast<milliseconds>(m_clock.now() - question.sentAt);
     m_roundTrip += (took - m_roundTrip) * newestEighths / 8;
-    learnControls({ update.controls().begin(), update.controls().end() });
+    addControls({ update.controls().begin(), update.controls().end() });
     if (!update.leads()) {
         if (awaited)
             onOtherLeader(update, question);
@@ -346,7 +346,7 @@
     m_network.send(m_leader, std::move(message));
 }
 
-void control_link::tellUnreachable(const std::string& endpoint, std::uint64_t born)
+void control_link::reportUnreachable(const std::string& endpoint, std::uint64_t born)
 {
     if (m_leader.empty())
         return;
@@ -377,7 +377,7 @@
     return found->second ? request_block::Certain : request_block::Suspected;
 }
 
-void control_link::sayGoodbye()
+void control_link::sendLeaving()
 {
     if (m_leader.empty())
         return;
--- a/Source/coordination/control_link.h
+++ b/Source/coordination/control_link.h
@@ -11,7 +11,7 @@
 
 namespace pistachiolatch {
 
-struct link_settings {
+struct control_link_settings {
     /// Peer addresses of control processes, as far as known at the start.
     std::vector<std::string> controls;
     /// How long an entry may act on what it knows without word from a leader. It bounds the time for which an entry
@@ -51,12 +51,12 @@
 class control_link {
 public:
     control_link(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-        link_settings settings, configuration_decoder decode, endpoint_listener& endpoints);
+        control_link_settings settings, configuration_decoder decode, endpoint_listener& endpoints);
 
     void start();
     void stop();
     /// Adds addresses at which control processes may be found.
-    void learnControls(const std::vector<std::string>& addresses);
+    void addControls(const std::vector<std::string>& addresses);
     /// Takes in an update that nobody asked for. Returns whether the message was one.
     bool onMessage(const wire::envelope& message);
     /// The configuration, or null while there is none.
@@ -75,14 +75,14 @@
     /// Tells the leader that a try which it placed has ended.
     void release(const ended_try& ended);
     /// Tells the leader that an endpoint could not be reached.
-    void tellUnreachable(const std::string& endpoint, std::uint64_t born);
+    void reportUnreachable(const std::string& endpoint, std::uint64_t born);
     /// Tells the leader that the connection to an endpoint broke while it ran a request. The handler gets the number of
     /// crashes that the leader counts against the request, or 0 if no leader is known or answers in time.
     void tellCrash(const wire::crash_report& report, std::function<void(std::uint32_t crashes)> handler);
     bool blocksRequests() const { return !m_blocked.empty(); }
     request_block blockOf(std::uint64_t fingerprint) const;
     /// Tells the leader that this entry leaves, so that its shares go to the others.
-    void sayGoodbye();
+    void sendLeaving();
 
 private:
     struct sync_question {
@@ -109,7 +109,7 @@
     peer_network& m_network;
     const clock_source& m_clock;
     metrics& m_metrics;
-    link_settings m_settings;
+    control_link_settings m_settings;
     configuration_decoder m_decode;
     endpoint_listener& m_endpoints;
     boost::asio::steady_timer m_timer;
--- a/Source/coordination/coordination.h
+++ b/Source/coordination/coordination.h
@@ -4,4 +4,4 @@
 #include "coordination/control_link.h"
 #include "coordination/endpoint_listener.h"
 #include "coordination/entry_coordinator.h"
-#include "coordination/token_account.h"
+#include "coordination/token_limiter.h"
--- a/Source/coordination/document_shelf.cpp
+++ b/Source/coordination/document_cache.cpp
@@ -1,4 +1,4 @@
-#include "coordination/document_shelf.h"
+#include "coordination/document_cache.h"
 
 #include <algorithm>
 
--- a/Source/coordination/document_fetch.h
+++ b/Source/coordination/document_fetch.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "coordination/packed_document.h"
+#include "coordination/compressed_document.h"
 #include <optional>
 
 namespace pistachiolatch {
--- a/Source/coordination/entry_coordinator.h
+++ b/Source/coordination/entry_coordinator.h
@@ -1,8 +1,8 @@
 #pragma once
-#include "coordination/document_shelf.h"
+#include "coordination/document_cache.h"
 #include "coordination/entry_loads.h"
 #include "coordination/request_blocks.h"
-#include "coordination/stage_orders.h"
+#include "coordination/stage_order_client.h"
 #include "coordination/transfer_pacer.h"
 #include "limits/limits.h"
 #include "membership/membership.h"
@@ -58,7 +58,7 @@
         metrics& counters, coordinator_settings settings, configuration_decoder decode);
 
     /// Gives orders to endpoints through this; without it none are given. Precondition: it outlives the coordinator.
-    void giveOrdersThrough(stage_orders& orders) { m_orders = &orders; }
+    void setStageOrderClient(stage_order_client& orders) { m_orders = &orders; }
     void start();
     void stop();
     /// Takes in what a peer sent, if it is for this part. Returns whether it was.
@@ -129,7 +129,7 @@
     transfer_pacer<peer_connection*> m_pacer;
     boost::asio::steady_timer m_pieceTimer;
     engine_planner m_planner;
-    stage_orders* m_orders = nullptr;
+    stage_order_client* m_orders = nullptr;
     time_point m_leadsSince {};
     /// From when on this leader places calls.
     time_point m_planFrom {};
--- a/Source/coordination/stage_orders.cpp
+++ b/Source/coordination/stage_order_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/stage_orders.h"
+#include "coordination/stage_order_client.h"
 
 #include <boost/asio/co_spawn.hpp>
 
@@ -12,7 +12,7 @@
     constexpr unsigned holdsAlready = 200;
 }
 
-task_of<bool> stage_orders::giveNow(std::string address, stage_order order, std::function<bool()> stillLeads) const
+task_of<bool> stage_order_client::giveNow(std::string address, stage_order order, std::function<bool()> stillLeads) const
 {
     auto question = m_dialect.encodeQuestion();
     auto readiness = co_await http_client::fetch(address, question, connectTimeout, answerTimeout);
@@ -31,7 +31,7 @@
     co_return mayBeTaken;
 }
 
-void stage_orders::give(const std::string& address, stage_order order, std::function<bool()> stillLeads, handler done)
+void stage_order_client::give(const std::string& address, stage_order order, std::function<bool()> stillLeads, handler done)
 {
     boost::asio::co_spawn(m_context, giveNow(address, std::move(order), std::move(stillLeads)), [done = std::move(done)](std::exception_ptr broken, bool taken) {
         done(!broken && taken);
--- a/Source/coordination/stage_orders.h
+++ b/Source/coordination/stage_order_client.h
@@ -18,27 +18,27 @@
 };
 
 /// What an endpoint says of itself to whoever is about to give it an order.
-struct order_readiness {
+struct stage_order_status {
     std::uint64_t sequence = 0;
     /// Whether another order is being carried out.
     bool busy = false;
 };
 
 /// How orders are written on the wire.
-struct order_dialect {
+struct stage_order_codec {
     std::function<http_call()> encodeQuestion;
-    std::function<std::optional<order_readiness>(const std::string& body)> decodeReadiness;
+    std::function<std::optional<stage_order_status>(const std::string& body)> decodeReadiness;
     std::function<http_call(const stage_order&)> encodeOrder;
 };
 
 /// Gives orders to endpoints and says what came of them. An order without an answer may have been accepted; the endpoint's
 /// own reports tell.
 /// Thread safety: used on the context's thread.
-class stage_orders {
+class stage_order_client {
 public:
     using handler = std::function<void(bool accepted)>;
 
-    stage_orders(boost::asio::io_context& context, order_dialect dialect)
+    stage_order_client(boost::asio::io_context& context, stage_order_codec dialect)
         : m_context(context)
         , m_dialect(std::move(dialect))
     {
@@ -52,7 +52,7 @@
     task_of<bool> giveNow(std::string address, stage_order order, std::function<bool()> stillLeads) const;
 
     boost::asio::io_context& m_context;
-    order_dialect m_dialect;
+    stage_order_codec m_dialect;
 };
 
 } // namespace pistachiolatch
--- a/Source/coordination/token_account.cpp
+++ b/Source/coordination/token_limiter.cpp
@@ -1,4 +1,4 @@
-#include "coordination/token_account.h"
+#include "coordination/token_limiter.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
     constexpr milliseconds retryAfterWithoutOwner { 600 };
 }
 
-token_account::token_account(boost::asio::io_context& context, peer_network& network, const clock_source& clock, control_link& link, token_settings settings)
+token_limiter::token_limiter(boost::asio::io_context& context, peer_network& network, const clock_source& clock, control_link& link, token_limiter_settings settings)
     : m_context(context)
     , m_network(network)
     , m_clock(clock)
@@ -25,7 +25,7 @@
 {
 }
 
-void token_account::take(const organisation_config& organisation, std::uint64_t tokens, milliseconds patience, handler done)
+void token_limiter::take(const organisation_config& organisation, std::uint64_t tokens, milliseconds patience, handler done)
 {
     if (organisation.rate == 0) {
         done({ true, false, milliseconds(0) });
@@ -35,7 +35,7 @@
     ask(std::move(one));
 }
 
-void token_account::ask(std::shared_ptr<question> one)
+void token_limiter::ask(std::shared_ptr<question> one)
 {
     if (m_link.leader().empty() || m_clock.now() < m_silentUntil) {
         withoutOwner(one);
@@ -61,7 +61,7 @@
     });
 }
 
-void token_account::withoutOwner(const std::shared_ptr<question>& one)
+void token_limiter::withoutOwner(const std::shared_ptr<question>& one)
 {
     if (takeAllowance(*one)) {
         one->done({ true, false, milliseconds(0) });
@@ -75,7 +75,7 @@
     timer->async_wait([this, one, timer](boost::system::error_code) { ask(one); });
 }
 
-bool token_account::takeAllowance(const question& one)
+bool token_limiter::takeAllowance(const question& one)
 {
     // All entries together stay within the slack and the rate: each has its share of both.
     auto entries = std::max(1U, m_link.entries());
--- a/Source/forwarding/call_gateway.h
+++ b/Source/forwarding/call_gateway.h
@@ -110,7 +110,7 @@
 template <call_dialect Dialect>
 caller_limits call_gateway<Dialect>::limits() const
 {
-    const auto& table = m_shared.link.table();
+    const auto& table = m_shared.link.routeTable();
     return table ? table->source().limits : caller_limits {};
 }
 
--- a/Source/forwarding/forward_call.h
+++ b/Source/forwarding/forward_call.h
@@ -19,7 +19,7 @@
     const clock_source& clock;
     metrics& counters;
     control_link& link;
-    token_account& tokens;
+    token_limiter& tokens;
     endpoint_roster& roster;
     connection_pool& pool;
     shared_retry_budget& budget;
@@ -83,7 +83,7 @@
     task_of<void> reportCrash();
     /// Records for reportCrash() that the connection to an endpoint broke while it had the request.
     void noteBrokenConnection(const picked_endpoint& endpoint);
-    task_of<token_verdict> takeTokens();
+    task_of<token_decision> takeTokens();
     task_of<void> runPlain();
     task_of<void> runModel();
     task_of<std::optional<model_places>> awaitPlaces();
--- a/Source/forwarding/forward_call_model.h
+++ b/Source/forwarding/forward_call_model.h
@@ -60,7 +60,7 @@
         auto generating = m_generatingSince == time_point {} ? milliseconds(0) : std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_generatingSince);
         m_figures.generated = m_eventsHere * m_service->engine->tokensPerEvent;
         m_figures.generating = generating;
-        m_shared.link.release({ m_callId, std::exchange(m_figures, {}), std::exchange(m_outcomes, {}) });
+        m_shared.link.reportFinished({ m_callId, std::exchange(m_figures, {}), std::exchange(m_outcomes, {}) });
         if (end == attempt_end::Answered)
             co_return;
         co_await reportCrash();
@@ -132,7 +132,7 @@
 task_of<std::optional<wire::engine_plan_reply>> forward_call<Dialect>::planByLeader()
 {
     pending_reply<std::optional<wire::engine_plan_reply>> reply(m_shared.context.get_executor());
-    m_shared.link.plan(planQuestion(m_callId, patienceForPlaces()), reply.completer());
+    m_shared.link.requestPlan(planQuestion(m_callId, patienceForPlaces()), reply.completer());
     auto answer = co_await reply.wait(timeLeft());
     if (!answer)
         co_return std::nullopt;
@@ -230,7 +230,7 @@
             co_return;
         bool isRepeat = i > 0 || m_firstPrefillDone;
         auto now = m_shared.clock.now();
-        if (!m_shared.budget.mayAskToRead(m_service->name, m_shared.link.entries(), isRepeat, m_shared.roster.failsNow(endpoint->id), now))
+        if (!m_shared.budget.mayAskToRead(m_service->name, m_shared.link.entryCount(), isRepeat, m_shared.roster.failsNow(endpoint->id), now))
             co_return;
         tried.insert(endpoint->id);
         auto prefill = co_await prefillAt(*endpoint);
--- a/Source/forwarding/forward_call_steps.h
+++ b/Source/forwarding/forward_call_steps.h
@@ -43,7 +43,7 @@
     , m_head(Dialect::decodeCall(m_request))
     , m_receivedAt(shared.clock.now())
     , m_endsAt(m_receivedAt + m_head.deadline.value_or(milliseconds(std::chrono::hours(1))))
-    , m_table(shared.link.table())
+    , m_table(shared.link.routeTable())
     , m_deadlineTimer(shared.context)
     , m_attemptTimer(shared.context)
 {
@@ -111,7 +111,7 @@
 {
     auto refusal = [](reason why, std::optional<milliseconds> retryAfter = std::nullopt) { return call_refusal { why, httpStatus(why), retryAfter }; };
     // An entry out of touch must not act on what it once knew: a key may have been withdrawn meanwhile.
-    if (!m_shared.link.isCurrent())
+    if (!m_shared.link.hasCurrentConfiguration())
         return refusal(reason::NoConfig, forwarding_detail::comeBackSoon);
     std::string_view host(m_request[boost::beast::http::field::host].data(), m_request[boost::beast::http::field::host].size());
     std::string_view target(m_request.target().data(), m_request.target().size());
@@ -135,7 +135,7 @@
 template <call_dialect Dialect>
 std::optional<call_refusal> forward_call<Dialect>::refusedAsPoison()
 {
-    if (!m_shared.link.blocksRequests())
+    if (!m_shared.link.hasBlockedRequests())
         return std::nullopt;
     switch (m_shared.link.blockOf(fingerprint())) {
     case request_block::None:
@@ -180,21 +180,21 @@
     report.set_request_id(m_head.id);
     report.set_attempt(m_crashReports++);
     pending_reply<std::uint32_t> reply(m_shared.context.get_executor());
-    m_shared.link.tellCrash(report, reply.completer());
+    m_shared.link.reportCrash(report, reply.completer());
     auto crashes = co_await reply.wait(timeLeft());
     m_crashes = std::max<std::uint32_t>(crashes.value_or(0), m_crashReports);
 }
 
 template <call_dialect Dialect>
-task_of<token_verdict> forward_call<Dialect>::takeTokens()
+task_of<token_decision> forward_call<Dialect>::takeTokens()
 {
     if (!m_organisation || m_organisation->rate == 0)
-        co_return token_verdict { true, false, milliseconds(0) };
+        co_return token_decision { true, false, milliseconds(0) };
     auto patience = std::min(m_route->latencyTarget / forwarding_detail::tokenPatienceShare, timeLeft());
-    pending_reply<token_verdict> reply(m_shared.context.get_executor());
-    m_shared.tokens.take(*m_organisation, forwarding_detail::tokensOf(*m_organisation, m_head), patience, reply.completer());
+    pending_reply<token_decision> reply(m_shared.context.get_executor());
+    m_shared.tokens.acquire(*m_organisation, forwarding_detail::tokensOf(*m_organisation, m_head), patience, reply.completer());
     auto verdict = co_await reply.wait(timeLeft());
-    co_return verdict.value_or(token_verdict {});
+    co_return verdict.value_or(token_decision {});
 }
 
 template <call_dialect Dialect>
@@ -267,7 +267,7 @@
     m_current.reset();
     if (!ended()) {
         judge(endpoint.id, endpoint_verdict::Lost);
-        m_shared.link.tellUnreachable(endpoint.id, endpoint.born);
+        m_shared.link.reportUnreachable(endpoint.id, endpoint.born);
     }
     co_return nullptr;
 }
@@ -308,7 +308,7 @@
         m_noRetryReason = no_retry_reason::Poison;
     // A send that never left is no burden on any endpoint, so it needs no budget.
     bool needsBudget = m_noRetryReason == no_retry_reason::None && end != attempt_end::NotSent;
-    if (needsBudget && !m_shared.budget.tryAgain(m_service->name, m_shared.link.entries(), m_shared.clock.now()))
+    if (needsBudget && !m_shared.budget.tryAgain(m_service->name, m_shared.link.entryCount(), m_shared.clock.now()))
         m_noRetryReason = no_retry_reason::RetryBudgetSpent;
     bool allowed = m_noRetryReason == no_retry_reason::None;
     auto why = end == attempt_end::NotSent ? reason::ConnectFailed : end == attempt_end::RefusedUnrun ? reason::EndpointRefused
@@ -417,7 +417,7 @@
 template <call_dialect Dialect>
 void forward_call<Dialect>::logCut(std::string_view why) const
 {
-    auto latestVersion = m_shared.link.table() ? m_shared.link.table()->version() : 0;
+    auto latestVersion = m_shared.link.routeTable() ? m_shared.link.routeTable()->version() : 0;
     logEvent("answer_cut", { { "request", m_head.id }, { "why", why }, { "route", m_route->name }, { "version", m_table->version() }, { "latest_version", latestVersion }, { "events", m_eventsPassed }, { "may_have_run_at", m_mayHaveRunAt }, { "most_endpoints", m_route->mostEndpoints }, { "resumable", resumable() ? 1 : 0 }, { "deadline_ms", m_head.deadline.value_or(milliseconds(0)).count() }, { "timeout_ms", m_route->timeout.count() }, { "time_left_ms", timeLeft().count() }, { "endpoint_wait_ms", m_endpointWait.count() }, { "engines_full", m_enginesFull ? 1 : 0 }, { "draining", m_shared.draining ? 1 : 0 }, { "age_ms", age().count() } });
 }
 
--- a/Source/forwarding/forward_call_streams.h
+++ b/Source/forwarding/forward_call_streams.h
@@ -62,17 +62,17 @@
     auto callId = m_shared.roster.nextCallId();
     auto question = planQuestion(callId, milliseconds(0));
     question.add_exclude(endpoint.id);
-    m_shared.link.plan(std::move(question), [this, attempt = m_attempt, since = m_quietSince, alive = m_alive, endpoint, callId](std::optional<wire::engine_plan_reply> plan) {
+    m_shared.link.requestPlan(std::move(question), [this, attempt = m_attempt, since = m_quietSince, alive = m_alive, endpoint, callId](std::optional<wire::engine_plan_reply> plan) {
         // What the leader booked meanwhile is dropped with this entry's next list of running calls.
         if (!*alive || attempt != m_attempt || ended())
             return;
         auto places = since == m_quietSince ? placesElsewhere(plan, endpoint, callId) : std::nullopt;
-        if (places && m_shared.budget.tryAgain(m_service->name, m_shared.link.entries(), m_shared.clock.now())) {
+        if (places && m_shared.budget.tryAgain(m_service->name, m_shared.link.entryCount(), m_shared.clock.now())) {
             leaveFor(*places, endpoint);
             return;
         }
         if (plan && !plan->full())
-            m_shared.link.release({ callId, {}, {} });
+            m_shared.link.reportFinished({ callId, {}, {} });
         watchQuiet(endpoint, forwarding_detail::seekPause);
     });
 }
--- a/Source/replication/document_replica.cpp
+++ b/Source/replication/document_replica.cpp
@@ -33,7 +33,7 @@
 }
 
 document_replica::document_replica(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-    replica_home home, replica_events events)
+    replica_settings home, replica_events events)
     : m_network(network)
     , m_clock(clock)
     , m_metrics(counters)
@@ -169,7 +169,7 @@
     return std::chrono::ceil<milliseconds>(now - *at);
 }
 
-void document_replica::learnPeers(const std::vector<std::string>& addresses)
+void document_replica::addPeers(const std::vector<std::string>& addresses)
 {
     for (const auto& address : addresses) {
         if (address != m_self.address())
@@ -201,11 +201,11 @@
         settle();
         return true;
     case wire::envelope::kJoin:
-        learnPeers({ message.join().replica().address() });
+        addPeers({ message.join().replica().address() });
         onJoin(message.join().replica());
         return true;
     case wire::envelope::kDocumentSubmit:
-        propose(message.document_submit().document(), [from, message](document_outcome outcome) {
+        propose(message.document_submit().document(), [from, message](submit_result outcome) {
             wire::envelope reply;
             reply.mutable_document_submit_reply()->set_unavailable(outcome.unavailable);
             reply.mutable_document_submit_reply()->set_held_version(outcome.heldVersion);
--- a/Source/replication/document_replica.h
+++ b/Source/replication/document_replica.h
@@ -10,7 +10,7 @@
 namespace pistachiolatch {
 
 /// What became of a submitted document.
-struct document_outcome {
+struct submit_result {
     /// Whether nothing is known: no leader, no quorum, or the leader was lost meanwhile. The document may yet be accepted.
     bool unavailable = false;
     /// The version in force afterwards; at least the submitted one.
@@ -26,7 +26,7 @@
 };
 
 /// Where a replica keeps its files, and how its log begins.
-struct replica_home {
+struct replica_settings {
     std::string folder;
     founding_facts facts;
 };
@@ -38,13 +38,13 @@
 /// Thread safety: everything is called on the thread that runs the context.
 class document_replica {
 public:
-    using submit_handler = std::function<void(document_outcome)>;
+    using submit_handler = std::function<void(submit_result)>;
     /// Gets null when the newest document can't be told for certain.
     using read_handler = std::function<void(const wire::document* newest)>;
 
     /// Precondition: the references outlive the replica.
     document_replica(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-        replica_home home, replica_events events);
+        replica_settings home, replica_events events);
 
     /// Opens the files and takes part, at once or as soon as they can be used.
     void start();
@@ -52,7 +52,7 @@
     /// Takes in what a peer sent, if it is for the log. Returns whether it was.
     bool onMessage(const wire::envelope& message, const peer_network::peer& from);
     /// Adds addresses at which replicas may be found.
-    void learnPeers(const std::vector<std::string>& addresses);
+    void addPeers(const std::vector<std::string>& addresses);
 
     /// Submits a document that was checked; goes through the leader, wherever it is.
     void submit(wire::document document, submit_handler handler);
@@ -121,7 +121,7 @@
     const clock_source& m_clock;
     metrics& m_metrics;
     replica_events m_events;
-    replica_home m_home;
+    replica_settings m_home;
     wire::replica_id m_self;
     /// Present from the first time that the files could be read.
     std::optional<raft_host<file_log_store>> m_host;
--- a/Source/replication/document_replica_storage.cpp
+++ b/Source/replication/document_replica_storage.cpp
@@ -51,7 +51,7 @@
     m_metrics.count("storage_failed");
     m_metrics.gauge("storage_usable", 0);
     m_heard = { core().role() == raft_role::Leader ? std::string() : leaderAddress(), term(), m_clock.now() };
-    learnPeers(peers());
+    addPeers(peers());
     m_usable = false;
     m_unsynced = true;
     m_unusableSince = m_clock.now();
--- a/Tests/Coordination/DocumentFetchTest.cpp
+++ b/Tests/Coordination/DocumentFetchTest.cpp
@@ -4,7 +4,7 @@
 // Why it must not: nothing half-applied may serve, and every transfer must come to its end.
 #include "coordination/configuration_lease.h"
 #include "coordination/document_fetch.h"
-#include "coordination/document_shelf.h"
+#include "coordination/document_cache.h"
 #include "coordination/transfer_pacer.h"
 #include <catch2/catch.hpp>
 #include <random>
--- a/Tests/Coordination/coordination_fleet.cpp
+++ b/Tests/Coordination/coordination_fleet.cpp
@@ -45,7 +45,7 @@
     replica_events events;
     events.documentChanged = [this] { m_coordinator->onDocumentChanged(); };
     events.leadershipChanged = [this](bool leads) { m_coordinator->onLeadershipChanged(leads); };
-    m_replica = std::make_unique<document_replica>(context, m_network, clock, m_metrics, replica_home { m_folder, { address, { address }, true } }, std::move(events));
+    m_replica = std::make_unique<document_replica>(context, m_network, clock, m_metrics, replica_settings { m_folder, { address, { address }, true } }, std::move(events));
     m_coordinator = std::make_unique<entry_coordinator>(context, m_network, *m_replica, clock, m_metrics, coordinator_settings {}, decodeVersion);
     m_network.onMessage([this](const wire::envelope& message, const peer_network::peer& from) {
         if (!m_replica->onMessage(message, from))
@@ -77,13 +77,13 @@
     wire::document document;
     document.set_version(version);
     document.set_body(std::to_string(version) + " " + body);
-    m_replica->submit(std::move(document), [](document_outcome) {});
+    m_replica->submit(std::move(document), [](submit_result) {});
 }
 
 entry_under_test::entry_under_test(boost::asio::io_context& context, const clock_source& clock, const std::string& control)
     : m_context(context)
     , m_network(context, clock, m_metrics)
-    , m_link(context, m_network, clock, m_metrics, link_settings { { control } }, decodeVersion, *this)
+    , m_link(context, m_network, clock, m_metrics, control_link_settings { { control } }, decodeVersion, *this)
 {
     m_network.onMessage([this](const wire::envelope& message, const peer_network::peer&) { m_link.onMessage(message); });
     m_network.start();
--- a/Tests/Replication/DocumentReplicaTest.cpp
+++ b/Tests/Replication/DocumentReplicaTest.cpp
@@ -33,8 +33,8 @@
         replica_events events;
         events.documentChanged = [] {};
         events.leadershipChanged = [](bool) {};
-        m_replica = std::make_unique<document_replica>(m_context, *m_network, m_clock, m_metrics, replica_home { m_folder, { m_address, m_founders, firstStart } }, std::move(events));
-        m_replica->learnPeers(m_founders);
+        m_replica = std::make_unique<document_replica>(m_context, *m_network, m_clock, m_metrics, replica_settings { m_folder, { m_address, m_founders, firstStart } }, std::move(events));
+        m_replica->addPeers(m_founders);
         REQUIRE(m_network->listen(m_address));
         m_network->start();
         m_replica->start();
@@ -123,7 +123,7 @@
             wire::document document;
             document.set_version(version);
             document.set_body(body);
-            at.replica().submit(document, [&](document_outcome outcome) {
+            at.replica().submit(document, [&](submit_result outcome) {
                 waiting = false;
                 accepted = !outcome.unavailable;
             });
