--- a/Source/coordination/compressed_document.h
+++ b/Source/coordination/compressed_document.h
@@ -5,26 +5,26 @@
 
 namespace pistachiolatch {
 
-/// A document as it travels: compressed by itself, or as what changed since an older one that the receiver holds.
-struct packed_document {
+/// A document as it is transferred: compressed on its own, or as a delta against an older version that the receiver holds.
+struct compressed_document {
     std::uint64_t version = 0;
-    /// The version that the receiver must hold; 0 when the bytes stand alone.
+    /// The version that the receiver must hold; 0 if the bytes are not a delta.
     std::uint64_t baseVersion = 0;
-    /// Tells these bytes from any others, those of the same version against another base among them.
+    /// Digest of the bytes; differs for the same version compressed against another base.
     std::uint64_t digest = 0;
     std::string bytes;
 };
 
-/// The digest of packed bytes. Thread safety: any thread.
-std::uint64_t packedDigest(const std::string& bytes);
+/// Thread safety: any thread.
+std::uint64_t compressedDigest(const std::string& bytes);
 
-/// Packs a document, against a base where one is given. The bytes follow from the arguments alone, so that another leader
-/// packs the same ones and a transfer goes on there. Thread safety: any thread.
-/// Errors: the compressor has no memory.
-result<packed_document> packDocument(const wire::document& document, const wire::document* base);
+/// Compresses a document, as a delta if a base is given. The result is deterministic, so that a transfer can continue at
+/// another leader. Thread safety: any thread.
+/// Errors: out of memory in the compressor.
+result<compressed_document> compressDocument(const wire::document& document, const wire::document* base);
 
-/// Unpacks a document. Precondition: the base is the one that it was packed against, or null for none.
-/// Thread safety: any thread. Errors: damaged bytes, another base, or a size that no document may have.
-result<wire::document> unpackDocument(const packed_document& packed, const wire::document* base);
+/// Decompresses a document. Precondition: the base is the one that it was compressed against, or null for none.
+/// Thread safety: any thread. Errors: corrupt bytes, wrong base, or a size above the limit.
+result<wire::document> decompressDocument(const compressed_document& compressed, const wire::document* base);
 
 } // namespace pistachiolatch
--- a/Source/coordination/configuration_lease.h
+++ b/Source/coordination/configuration_lease.h
@@ -4,67 +4,67 @@
 
 namespace pistachiolatch {
 
-/// Until when an entry may act on the configuration that it holds. The leader's word that a version was the newest at some
-/// moment counts for whoever holds that version or a newer one. It often comes before the document itself: extended at
-/// once, the lease would cover an older configuration with a key that was withdrawn.
-/// A configuration that the entry knows to be superseded ends sooner than its lease, which is as long as an entry may go on
-/// without word from a leader: the successor must be in force everywhere by then.
+/// Determines until when an entry may act on the configuration that it has applied. The leader confirms that a version was
+/// the newest at some moment; this extends the lease if that version or a newer one is applied. A confirmation often
+/// arrives before its document: extending the lease at once would cover an older configuration with a withdrawn key.
+/// When a newer version is known, the lease ends early, so that the newer version is in force everywhere within the bound on
+/// changes. The lease itself is longer: it covers the time that an entry may run without hearing from a leader.
 /// Not thread-safe.
 class configuration_lease {
 public:
-    /// Takes the leader's word on a version, which lasts until a moment.
-    void vouch(std::uint64_t version, time_point until)
+    /// Records the leader's confirmation of a version, valid until the given expiry.
+    void confirm(std::uint64_t version, time_point expiry)
     {
-        if (version <= m_held) {
-            m_until = std::max(m_until, until);
+        if (version <= m_applied) {
+            m_expiry = std::max(m_expiry, expiry);
             return;
         }
-        auto& known = m_vouched[version];
-        known = std::max(known, until);
-        if (m_vouched.size() > mostVouched)
-            m_vouched.erase(m_vouched.begin());
+        auto& known = m_confirmed[version];
+        known = std::max(known, expiry);
+        if (m_confirmed.size() > maxTrackedVersions)
+            m_confirmed.erase(m_confirmed.begin());
     }
 
-    /// Takes the leader's word that a version was accepted. Older ones end at a moment, unless they end sooner already.
-    void supersede(std::uint64_t version, time_point olderEndAt)
+    /// Records that the leader accepted a version. Leases of older versions expire at the given time at the latest.
+    void supersede(std::uint64_t version, time_point olderExpiry)
     {
-        if (version <= m_held)
+        if (version <= m_applied)
             return;
-        auto& end = m_superseding.try_emplace(version, olderEndAt).first->second;
-        end = std::min(end, olderEndAt);
-        // The oldest of them ends what is held; those behind it matter only once it is applied.
-        if (m_superseding.size() > mostVouched)
-            m_superseding.erase(std::prev(m_superseding.end()));
+        auto& expiry = m_successors.try_emplace(version, olderExpiry).first->second;
+        expiry = std::min(expiry, olderExpiry);
+        // The oldest successor limits the applied version; later ones matter only once it is applied itself.
+        if (m_successors.size() > maxTrackedVersions)
+            m_successors.erase(std::prev(m_successors.end()));
     }
 
-    /// Notes that a version is in force here.
-    void hold(std::uint64_t version)
+    void setApplied(std::uint64_t version)
     {
-        m_held = std::max(m_held, version);
-        m_superseding.erase(m_superseding.begin(), m_superseding.upper_bound(m_held));
-        auto newer = m_vouched.upper_bound(m_held);
-        for (auto it = m_vouched.begin(); it != newer; ++it)
-            m_until = std::max(m_until, it->second);
-        m_vouched.erase(m_vouched.begin(), newer);
+        m_applied = std::max(m_applied, version);
+        m_successors.erase(m_successors.begin(), m_successors.upper_bound(m_applied));
+        auto newer = m_confirmed.upper_bound(m_applied);
+        for (auto it = m_confirmed.begin(); it != newer; ++it)
+            m_expiry = std::max(m_expiry, it->second);
+        m_confirmed.erase(m_confirmed.begin(), newer);
     }
 
-    time_point until() const
+    time_point expiry() const
     {
-        auto until = m_until;
-        for (const auto& [version, end] : m_superseding)
-            until = std::min(until, end);
-        return until;
+        auto expiry = m_expiry;
+        for (const auto& [version, end] : m_successors)
+            expiry = std::min(expiry, end);
+        return expiry;
     }
 
 private:
-    /// More words than fit into a lease are never needed: the newest of them count.
-    static constexpr std::size_t mostVouched = 64;
+    /// Bounds memory. A lease needs only the newest confirmations and the oldest successors.
+    static constexpr std::size_t maxTrackedVersions = 64;
 
-    std::uint64_t m_held = 0;
-    time_point m_until {};
-    std::map<std::uint64_t, time_point> m_vouched;
-    /// When the configuration that is held ends because of a newer one, by the newer one's version.
-    std::map<std::uint64_t, time_point> m_superseding;
+    std::uint64_t m_applied = 0;
+    time_point m_expiry {};
+    /// Expiry by confirmed version that is not yet applied.
+    std::map<std::uint64_t, time_point> m_confirmed;
+    /// Expiry of the applied version, by the newer version that supersedes it.
+    std::map<std::uint64_t, time_point> m_successors;
 };
 
 } // namespace pistachiolatch
--- a/Source/coordination/control_link.cpp
+++ b/Source/coordination/control_link.cpp
@@ -3,28 +3,29 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Several syncs fit into a lease, so that a lost one or an election does not end it.
+    /// Several syncs fit into a lease, so that a lost one or an election does not let it expire.
     constexpr milliseconds syncInterval { 500 };
-    /// An answer that takes longer means a leader that is down or cut off; the others are asked meanwhile.
-    constexpr milliseconds syncTimeout { 300 };
-    /// The same on a link whose answers take long at all times: as many round trips, up to a bound.
-    constexpr int silentRoundTrips = 4;
-    constexpr milliseconds longestSyncTimeout { 1000 };
-    /// An answer is good for this long after others were asked. Dropped as late, the answers of a slow link never count,
-    /// and the entry serves nobody for as long as the link stays slow.
-    constexpr milliseconds lateAnswer { 2500 };
-    /// The same for a leader that left another question unanswered. Callers are content with a tenth of a second; a live
-    /// leader answers within a few milliseconds.
-    constexpr milliseconds suspectTimeout { 120 };
-    /// Share of the newest answer in the learnt round trip, in eighths.
-    constexpr int newestEighths = 1;
-    /// Pause between two questions while no leader is known; an election takes about a second.
-    constexpr milliseconds searchPause { 80 };
-    /// Share of the bound on changes for which an entry goes on with a superseded configuration; the rest is for the way of
-    /// the leader's word and for calls that were admitted just before. In quarters.
-    constexpr int supersededQuarters = 3;
-    /// A plan that takes longer than it was to wait is done without: an entry can place a call by itself, only less well.
-    constexpr milliseconds planTimeout { 60 };
+    /// Without a reply for this long, the leader counts as down or cut off and the other control processes are asked.
+    constexpr milliseconds minSyncTimeout { 300 };
+    /// The timeout grows with the average round trip, up to a bound, for slow links.
+    constexpr int syncTimeoutRoundTrips = 4;
+    constexpr milliseconds maxSyncTimeout { 1000 };
+    /// A reply is still accepted for this long, although other control processes were asked meanwhile. If late replies
+    /// were dropped, an entry on a slow link would never receive any and would refuse all requests.
+    constexpr milliseconds syncReplyLifetime { 2500 };
+    /// Sync timeout for a leader that left another request unanswered. Callers tolerate a tenth of a second; a live leader
+    /// replies within a few milliseconds.
+    constexpr milliseconds probeTimeout { 120 };
+    /// Weight of the newest sample in the average round trip, in eighths.
+    constexpr int roundTripWeightEighths = 1;
+    /// Interval of requests while no leader is known; an election takes about a second.
+    constexpr milliseconds leaderSearchInterval { 80 };
+    /// Share of the bound on changes, in quarters, for which an entry keeps using a superseded configuration. The rest covers
+    /// network delay and calls that were admitted just before.
+    constexpr int supersededShareQuarters = 3;
+    /// Time for the leader's reply beyond any wait that was requested. Without a plan the entry places the call itself, only
+    /// with less information.
+    constexpr milliseconds leaderReplyTimeout { 60 };
 }
 
 control_link::control_link(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
@@ -36,7 +37,7 @@
     , m_decode(std::move(decode))
     , m_endpoints(endpoints)
     , m_timer(context)
-    , m_silenceTimer(context)
+    , m_syncTimeoutTimer(context)
     , m_fetchTimer(context)
 {
     addControls(m_settings.controls);
@@ -44,27 +45,27 @@
 
 void control_link::start()
 {
-    syncNow(silenceAfter());
+    sendSync(syncTimeout());
 }
 
-milliseconds control_link::silenceAfter() const
+milliseconds control_link::syncTimeout() const
 {
-    return std::clamp(m_roundTrip * silentRoundTrips, syncTimeout, longestSyncTimeout);
+    return std::clamp(m_roundTrip * syncTimeoutRoundTrips, minSyncTimeout, maxSyncTimeout);
 }
 
-void control_link::suspectLeader()
+void control_link::probeLeader()
 {
-    if (m_suspecting || m_leader.empty() || m_leaving)
+    if (m_probing || m_leader.empty() || m_leaving)
         return;
-    m_suspecting = true;
+    m_probing = true;
     m_timer.cancel();
-    syncNow(suspectTimeout);
+    sendSync(probeTimeout);
 }
 
 void control_link::stop()
 {
     m_timer.cancel();
-    m_silenceTimer.cancel();
+    m_syncTimeoutTimer.cancel();
     m_fetchTimer.cancel();
     m_leaving = true;
 }
@@ -74,15 +75,15 @@
     m_controls.insert(addresses.begin(), addresses.end());
 }
 
-std::string control_link::nextControl()
+std::string control_link::selectControl()
 {
     if (!m_leader.empty())
         return m_leader;
-    if (!m_hint.empty())
-        return std::exchange(m_hint, {});
+    if (!m_leaderHint.empty())
+        return std::exchange(m_leaderHint, {});
     if (m_controls.empty())
         return {};
-    auto next = m_controls.upper_bound(m_lastAsked);
+    auto next = m_controls.upper_bound(m_lastContacted);
     return next == m_controls.end() ? *m_controls.begin() : *next;
 }
 
@@ -93,21 +94,21 @@
     m_timer.expires_after(delay);
     m_timer.async_wait([this](boost::system::error_code error) {
         if (!error)
-            syncNow(silenceAfter());
+            sendSync(syncTimeout());
     });
 }
 
-void control_link::syncNow(milliseconds timeout)
+void control_link::sendSync(milliseconds timeout)
 {
-    auto address = nextControl();
+    auto address = selectControl();
     if (address.empty()) {
         scheduleSync(syncInterval);
         return;
     }
-    m_lastAsked = address;
+    m_lastContacted = address;
     wire::envelope message;
     auto& sync = *message.mutable_entry_sync();
-    sync.set_document_version(m_fetch.held().version());
+    sync.set_document_version(m_fetch.document().version());
     sync.set_takes_pieces(true);
     sync.set_directory_source(m_directorySource);
     sync.set_directory_version(m_directoryVersion);
@@ -118,107 +119,107 @@
     }
     m_endpoints.fillLoad(*sync.mutable_load());
     m_endpoints.fillCalls(*sync.mutable_calls());
-    sync_question question { ++m_lastSync, address, m_clock.now() };
-    m_awaitedSync = question.number;
-    m_silenceTimer.expires_after(timeout);
-    m_silenceTimer.async_wait([this, question](boost::system::error_code error) {
-        if (!error && m_awaitedSync == question.number)
-            onSilence(question);
+    sync_request request { ++m_lastSync, address, m_clock.now() };
+    m_pendingSync = request.number;
+    m_syncTimeoutTimer.expires_after(timeout);
+    m_syncTimeoutTimer.async_wait([this, request](boost::system::error_code error) {
+        if (!error && m_pendingSync == request.number)
+            onSyncTimeout(request);
     });
-    m_network.call(address, std::move(message), lateAnswer, [this, question](const wire::envelope* reply) { onReply(reply, question); });
+    m_network.call(address, std::move(message), syncReplyLifetime, [this, request](const wire::envelope* reply) { onSyncReply(reply, request); });
 }
 
-void control_link::onSilence(const sync_question& question)
+void control_link::onSyncTimeout(const sync_request& request)
 {
-    m_awaitedSync = 0;
-    m_suspecting = false;
-    if (question.asked == m_leader)
-        noteLeader({});
-    scheduleSync(searchPause);
+    m_pendingSync = 0;
+    m_probing = false;
+    if (request.address == m_leader)
+        setLeader({});
+    scheduleSync(leaderSearchInterval);
 }
 
-void control_link::onReply(const wire::envelope* reply, const sync_question& question)
+void control_link::onSyncReply(const wire::envelope* reply, const sync_request& request)
 {
     if (m_leaving)
         return;
-    bool awaited = m_awaitedSync == question.number;
-    if (awaited)
-        m_silenceTimer.cancel();
+    bool isPending = m_pendingSync == request.number;
+    if (isPending)
+        m_syncTimeoutTimer.cancel();
     if (!reply || !reply->has_entry_update()) {
-        if (awaited)
-            onSilence(question);
+        if (isPending)
+            onSyncTimeout(request);
         return;
     }
-    if (awaited) {
-        m_awaitedSync = 0;
-        m_suspecting = false;
+    if (isPending) {
+        m_pendingSync = 0;
+        m_probing = false;
     }
     const auto& update = reply->entry_update();
-    auto took = std::chrono::duration_cast<milliseconds>(m_clock.now() - question.sentAt);
-    m_roundTrip += (took - m_roundTrip) * newestEighths / 8;
+    auto roundTrip = std::chrono::duration_cast<milliseconds>(m_clock.now() - request.sentAt);
+    m_roundTrip += (roundTrip - m_roundTrip) * roundTripWeightEighths / 8;
     addControls({ update.controls().begin(), update.controls().end() });
     if (!update.leads()) {
-        if (awaited)
-            onOtherLeader(update, question);
+        if (isPending)
+            onNotLeader(update, request);
         return;
     }
-    if (awaited || m_leader.empty())
-        noteLeader(question.asked);
-    takeUpdate(update, question.sentAt);
+    if (isPending || m_leader.empty())
+        setLeader(request.address);
+    applyUpdate(update, request.sentAt);
     m_endpoints.onLoad(update.load());
-    // What the leader knew was the newest when it was last confirmed; the lease counts from before that moment, so
-    // that neither the way of the question nor that of the answer lengthens it.
-    m_lease.vouch(update.document_version(), question.sentAt - milliseconds(update.confirmed_age_ms()) + m_settings.lease);
-    if (awaited)
+    // The version was the newest when the leader last confirmed its leadership. The lease starts at the send time minus
+    // the age of that confirmation, so that network delay never extends it.
+    m_lease.confirm(update.document_version(), request.sentAt - milliseconds(update.confirmed_age_ms()) + m_settings.lease);
+    if (isPending)
         scheduleSync(syncInterval);
 }
 
-void control_link::onOtherLeader(const wire::entry_update& update, const sync_question& question)
+void control_link::onNotLeader(const wire::entry_update& update, const sync_request& request)
 {
-    if (question.asked == m_leader)
-        noteLeader({});
+    if (request.address == m_leader)
+        setLeader({});
     if (!m_leader.empty()) {
         scheduleSync(syncInterval);
         return;
     }
-    bool elsewhere = !update.leader_address().empty() && update.leader_address() != question.asked;
-    m_hint = elsewhere ? update.leader_address() : std::string();
-    scheduleSync(elsewhere ? milliseconds(1) : searchPause);
+    bool knowsLeader = !update.leader_address().empty() && update.leader_address() != request.address;
+    m_leaderHint = knowsLeader ? update.leader_address() : std::string();
+    scheduleSync(knowsLeader ? milliseconds(1) : leaderSearchInterval);
 }
 
-void control_link::noteLeader(const std::string& leader)
+void control_link::setLeader(const std::string& leader)
 {
     if (leader == m_leader)
         return;
     logEvent(leader.empty() ? "control_lost" : "control_found", { { "leader", leader.empty() ? m_leader : leader }, { "known", m_controls.size() } });
     m_metrics.count(leader.empty() ? "control_lost" : "control_found");
     m_leader = leader;
-    failPlans();
-    m_fetch.leaderChanged();
-    fetchMore();
+    failPlanRequests();
+    m_fetch.onLeaderChanged();
+    continueFetch();
 }
 
 bool control_link::onMessage(const wire::envelope& message)
 {
     if (message.has_document_piece())
-        takePiece(message.document_piece());
+        handlePiece(message.document_piece());
     else if (message.has_entry_update())
-        takeUpdate(message.entry_update(), m_clock.now());
+        applyUpdate(message.entry_update(), m_clock.now());
     else
         return false;
     return true;
 }
 
-void control_link::takeUpdate(const wire::entry_update& update, time_point agesFrom)
+void control_link::applyUpdate(const wire::entry_update& update, time_point agesFrom)
 {
-    // A leader of an earlier version sends the document whole.
-    if (update.has_document() && m_fetch.takeWhole(update.document()))
+    // Leaders of earlier versions send the whole document.
+    if (update.has_document() && m_fetch.replaceDocument(update.document()))
         applyDocument();
     if (m_fetch.announce(update.document_version()))
-        logEvent("configuration_announced", { { "version", update.document_version() }, { "held", m_fetch.held().version() }, { "age_ms", update.document_age_ms() } });
+        logEvent("configuration_announced", { { "version", update.document_version() }, { "held", m_fetch.document().version() }, { "age_ms", update.document_age_ms() } });
     auto acceptedAt = agesFrom - milliseconds(update.document_age_ms());
-    m_lease.supersede(update.document_version(), acceptedAt + m_settings.changeBound * supersededQuarters / 4);
-    fetchMore();
+    m_lease.supersede(update.document_version(), acceptedAt + m_settings.changeBound * supersededShareQuarters / 4);
+    continueFetch();
     if (update.entries() > 0)
         m_entries = update.entries();
     if (update.has_blocked()) {
@@ -231,11 +232,11 @@
     }
     if (update.directory_source() == 0)
         return;
-    bool everything = update.directory_source() != m_directorySource;
+    bool isNewSource = update.directory_source() != m_directorySource;
     m_directorySource = update.directory_source();
     m_directoryVersion = update.directory_version();
-    if (everything || update.endpoints_size() > 0)
-        m_endpoints.onEndpoints(update.endpoints(), everything);
+    if (isNewSource || update.endpoints_size() > 0)
+        m_endpoints.onEndpoints(update.endpoints(), isNewSource);
     if (!update.more_endpoints() || m_leader.empty())
         return;
     wire::envelope message;
@@ -244,31 +245,31 @@
     m_network.send(m_leader, std::move(message));
 }
 
-void control_link::takePiece(const wire::document_piece& piece)
+void control_link::handlePiece(const wire::document_piece& piece)
 {
-    auto outcome = m_fetch.take(piece, m_clock.now());
-    if (outcome == piece_outcome::Damaged)
+    auto outcome = m_fetch.handlePiece(piece, m_clock.now());
+    if (outcome == piece_outcome::Corrupted)
         m_metrics.count("document_damaged");
     if (outcome == piece_outcome::Complete)
         applyDocument();
-    if (outcome == piece_outcome::Complete && !m_fetch.wanted() && !m_leader.empty()) {
+    if (outcome == piece_outcome::Complete && !m_fetch.isBehind() && !m_leader.empty()) {
         wire::envelope message;
         *message.mutable_document_ask() = m_fetch.acknowledgement();
         m_network.send(m_leader, std::move(message));
     }
-    fetchMore();
+    continueFetch();
 }
 
-void control_link::fetchMore()
+void control_link::continueFetch()
 {
     if (m_leader.empty() || m_leaving)
         return;
-    if (auto ask = m_fetch.due(m_clock.now())) {
+    if (auto request = m_fetch.nextRequest(m_clock.now())) {
         wire::envelope message;
-        *message.mutable_document_ask() = std::move(*ask);
+        *message.mutable_document_ask() = std::move(*request);
         m_network.send(m_leader, std::move(message));
     }
-    auto due = m_fetch.nextDue();
+    auto due = m_fetch.nextRequestAt();
     if (due == time_point::max()) {
         m_fetchTimer.cancel();
         return;
@@ -276,72 +277,72 @@
     m_fetchTimer.expires_after(due - m_clock.now());
     m_fetchTimer.async_wait([this](boost::system::error_code error) {
         if (!error)
-            fetchMore();
+            continueFetch();
     });
 }
 
 void control_link::applyDocument()
 {
-    const auto& document = m_fetch.held();
+    const auto& document = m_fetch.document();
     auto decoded = m_decode(document.body());
     if (!decoded) {
-        // Its lease ends: a configuration that can't be read may withdraw keys that the one in force here has.
+        // The lease is not renewed: the unreadable configuration may withdraw keys that the applied one accepts.
         logEvent("document_unreadable", { { "version", document.version() }, { "error", decoded.error().message } });
         m_metrics.count("document_unreadable");
         return;
     }
     logEvent("configuration_applied", { { "version", document.version() }, { "before", m_table ? m_table->version() : 0 }, { "routes", decoded.value().routes.size() } });
     m_table = std::make_shared<route_table>(std::move(decoded.value()));
-    m_lease.hold(document.version());
+    m_lease.setApplied(document.version());
 }
 
-void control_link::plan(wire::engine_plan_request ask, std::function<void(std::optional<wire::engine_plan_reply>)> handler)
+void control_link::requestPlan(wire::engine_plan_request request, std::function<void(std::optional<wire::engine_plan_reply>)> handler)
 {
     if (m_leader.empty()) {
         handler(std::nullopt);
         return;
     }
     wire::envelope message;
-    auto patience = milliseconds(ask.patience_ms());
-    *message.mutable_engine_plan_request() = std::move(ask);
+    auto patience = milliseconds(request.patience_ms());
+    *message.mutable_engine_plan_request() = std::move(request);
     auto id = ++m_lastPlan;
     m_plans[id] = std::move(handler);
-    m_network.call(m_leader, std::move(message), patience + planTimeout, [this, id](const wire::envelope* reply) {
+    m_network.call(m_leader, std::move(message), patience + leaderReplyTimeout, [this, id](const wire::envelope* reply) {
         auto found = m_plans.find(id);
         if (found == m_plans.end())
             return;
-        auto asked = std::move(found->second);
+        auto complete = std::move(found->second);
         m_plans.erase(found);
         bool planned = reply && reply->has_engine_plan_reply() && !reply->engine_plan_reply().unavailable();
-        asked(planned ? std::optional(reply->engine_plan_reply()) : std::nullopt);
+        complete(planned ? std::optional(reply->engine_plan_reply()) : std::nullopt);
     });
 }
 
-void control_link::failPlans()
+void control_link::failPlanRequests()
 {
-    // A question that waits for memory at a leader that is gone would wait to its end for nothing.
+    // The former leader won't reply any more, so waiting for engine memory there would only delay the calls.
     auto plans = std::exchange(m_plans, {});
     for (auto& [id, handler] : plans)
         handler(std::nullopt);
 }
 
-void control_link::release(const ended_try& ended)
+void control_link::reportFinished(const finished_attempt& attempt)
 {
     if (m_leader.empty())
         return;
     wire::envelope message;
     auto& release = *message.mutable_engine_release();
-    release.set_call_id(ended.callId);
-    release.set_generated(ended.figures.generated);
-    release.set_generating_ms(static_cast<std::uint32_t>(ended.figures.generating.count()));
-    release.set_read_tokens(ended.figures.readTokens);
-    release.set_reading_ms(static_cast<std::uint32_t>(ended.figures.reading.count()));
-    release.set_first_event_ms(static_cast<std::uint32_t>(ended.figures.firstEvent.count()));
-    for (const auto& id : ended.outcomes.succeeded)
+    release.set_call_id(attempt.callId);
+    release.set_generated(attempt.figures.generated);
+    release.set_generating_ms(static_cast<std::uint32_t>(attempt.figures.generating.count()));
+    release.set_read_tokens(attempt.figures.readTokens);
+    release.set_reading_ms(static_cast<std::uint32_t>(attempt.figures.reading.count()));
+    release.set_first_event_ms(static_cast<std::uint32_t>(attempt.figures.firstEvent.count()));
+    for (const auto& id : attempt.outcomes.succeeded)
         release.add_succeeded(id);
-    for (const auto& id : ended.outcomes.failed)
+    for (const auto& id : attempt.outcomes.failed)
         release.add_failed(id);
-    for (const auto& id : ended.outcomes.refused)
+    for (const auto& id : attempt.outcomes.refused)
         release.add_refused(id);
     m_network.send(m_leader, std::move(message));
 }
@@ -356,7 +357,7 @@
     m_network.send(m_leader, std::move(message));
 }
 
-void control_link::tellCrash(const wire::crash_report& report, std::function<void(std::uint32_t)> handler)
+void control_link::reportCrash(const wire::crash_report& report, std::function<void(std::uint32_t)> handler)
 {
     if (m_leader.empty()) {
         handler(0);
@@ -364,7 +365,7 @@
     }
     wire::envelope message;
     *message.mutable_crash() = report;
-    m_network.call(m_leader, std::move(message), planTimeout, [handler = std::move(handler)](const wire::envelope* reply) {
+    m_network.call(m_leader, std::move(message), leaderReplyTimeout, [handler = std::move(handler)](const wire::envelope* reply) {
         handler(reply && reply->has_crash_reply() ? reply->crash_reply().crashes() : 0);
     });
 }
--- a/Source/coordination/control_link.h
+++ b/Source/coordination/control_link.h
@@ -12,20 +12,20 @@
 namespace pistachiolatch {
 
 struct control_link_settings {
-    /// Peer addresses of control processes, as far as known at the start.
+    /// Initially known peer addresses of control processes.
     std::vector<std::string> controls;
-    /// How long an entry may act on what it knows without word from a leader. It bounds the time for which an entry
-    /// that is cut off goes on with a withdrawn key.
+    /// How long an entry may act on its configuration without hearing from a leader. Bounds how long an entry that is cut
+    /// off accepts a withdrawn key.
     milliseconds lease { 4000 };
     /// The time within which an accepted configuration must be in force at every entry.
     milliseconds changeBound { 2000 };
 };
 
-/// The engines that served, or failed, a part of a model call.
+/// Endpoints involved in one attempt at a model call, by result.
 struct engine_outcomes {
     std::vector<std::string> succeeded;
     std::vector<std::string> failed;
-    /// Those that refused it as full, though they were thought to have room.
+    /// Endpoints that rejected the call as full although the planner expected room.
     std::vector<std::string> refused;
 };
 
@@ -37,17 +37,16 @@
     Certain,
 };
 
-/// A try at a model call that has ended.
-struct ended_try {
+struct finished_attempt {
     std::uint64_t callId = 0;
     call_figures figures;
     engine_outcomes outcomes;
 };
 
-/// An entry's link to the leader: keeps the configuration and the endpoints current, and knows until when they may be
-/// acted on. Any control process that answers tells who leads and which others there are, so that stale addresses at
-/// the start do no harm.
-/// Thread safety: everything is called on the thread that runs the context.
+/// An entry's connection to the leader. Keeps the configuration and the endpoints up to date and tracks until when the
+/// configuration may be used. Every control process names the leader and the other control processes, so outdated
+/// initial addresses are corrected.
+/// Thread safety: all calls on the thread that runs the context.
 class control_link {
 public:
     control_link(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
@@ -55,56 +54,53 @@
 
     void start();
     void stop();
-    /// Adds addresses at which control processes may be found.
+    /// Adds addresses of control processes to contact.
     void addControls(const std::vector<std::string>& addresses);
-    /// Takes in an update that nobody asked for. Returns whether the message was one.
+    /// Handles a message that was not requested. Returns false if it is none of this class.
     bool onMessage(const wire::envelope& message);
-    /// The configuration, or null while there is none.
-    const std::shared_ptr<const route_table>& table() const { return m_table; }
-    /// Whether the configuration may be acted on now.
-    bool isCurrent() const { return m_table && m_clock.now() < m_lease.until(); }
-    /// The leader that last answered; empty when none does.
+    /// The applied configuration, or null if there is none.
+    const std::shared_ptr<const route_table>& routeTable() const { return m_table; }
+    bool hasCurrentConfiguration() const { return m_table && m_clock.now() < m_lease.expiry(); }
+    /// Address of the leader that replied last; empty if none replies.
     const std::string& leader() const { return m_leader; }
-    /// Entries in the fleet, this one among them; at least 1.
-    unsigned entries() const { return m_entries; }
-    /// Asks the leader where a model call should go. The handler gets null when no leader answers in time.
-    void plan(wire::engine_plan_request ask, std::function<void(std::optional<wire::engine_plan_reply>)> handler);
-    /// Takes note that the leader did not answer a question in time: it is asked for a sign of life at once, and given up
-    /// sooner than at the next sync.
-    void suspectLeader();
-    /// Tells the leader that a try which it placed has ended.
-    void release(const ended_try& ended);
-    /// Tells the leader that an endpoint could not be reached.
+    /// Entries in the fleet, including this one; at least 1.
+    unsigned entryCount() const { return m_entries; }
+    /// Asks the leader where to place a model call. The handler receives nullopt if no leader replies in time.
+    void requestPlan(wire::engine_plan_request request, std::function<void(std::optional<wire::engine_plan_reply>)> handler);
+    /// Checks at once whether the leader still replies, with a shorter timeout than a regular sync.
+    void probeLeader();
+    /// Reports the end of an attempt that the leader placed.
+    void reportFinished(const finished_attempt& attempt);
     void reportUnreachable(const std::string& endpoint, std::uint64_t born);
-    /// Tells the leader that the connection to an endpoint broke while it ran a request. The handler gets the number of
-    /// crashes that the leader counts against the request, or 0 if no leader is known or answers in time.
-    void tellCrash(const wire::crash_report& report, std::function<void(std::uint32_t crashes)> handler);
-    bool blocksRequests() const { return !m_blocked.empty(); }
+    /// Reports that the connection to an endpoint broke while it ran a request. The handler receives the number of
+    /// crashes that the leader counts against the request, or 0 if no leader is known or replies in time.
+    void reportCrash(const wire::crash_report& report, std::function<void(std::uint32_t crashes)> handler);
+    bool hasBlockedRequests() const { return !m_blocked.empty(); }
     request_block blockOf(std::uint64_t fingerprint) const;
-    /// Tells the leader that this entry leaves, so that its shares go to the others.
+    /// Tells the leader that this entry shuts down, so that its shares go to the others.
     void sendLeaving();
 
 private:
-    struct sync_question {
+    struct sync_request {
         std::uint64_t number = 0;
-        std::string asked;
+        std::string address;
         time_point sentAt;
     };
-    void syncNow(milliseconds timeout);
-    void failPlans();
+    void sendSync(milliseconds timeout);
+    void failPlanRequests();
     void scheduleSync(milliseconds delay);
-    milliseconds silenceAfter() const;
-    void onSilence(const sync_question& question);
-    void onReply(const wire::envelope* reply, const sync_question& question);
-    void onOtherLeader(const wire::entry_update& update, const sync_question& question);
-    /// The moment is the one from which the ages in the update count: when it was asked for, so that its way makes nothing
-    /// younger, or when it came unasked.
-    void takeUpdate(const wire::entry_update& update, time_point agesFrom);
-    void takePiece(const wire::document_piece& piece);
+    milliseconds syncTimeout() const;
+    void onSyncTimeout(const sync_request& request);
+    void onSyncReply(const wire::envelope* reply, const sync_request& request);
+    void onNotLeader(const wire::entry_update& update, const sync_request& request);
+    /// Ages in the update count from agesFrom: when a requested update was requested, so that network delay never makes
+    /// anything look newer, or when an unrequested one arrived.
+    void applyUpdate(const wire::entry_update& update, time_point agesFrom);
+    void handlePiece(const wire::document_piece& piece);
     void applyDocument();
-    void fetchMore();
-    void noteLeader(const std::string& leader);
-    std::string nextControl();
+    void continueFetch();
+    void setLeader(const std::string& leader);
+    std::string selectControl();
 
     peer_network& m_network;
     const clock_source& m_clock;
@@ -113,27 +109,27 @@
     configuration_decoder m_decode;
     endpoint_listener& m_endpoints;
     boost::asio::steady_timer m_timer;
-    boost::asio::steady_timer m_silenceTimer;
+    boost::asio::steady_timer m_syncTimeoutTimer;
     boost::asio::steady_timer m_fetchTimer;
     document_fetch m_fetch;
     configuration_lease m_lease;
     std::uint64_t m_lastSync = 0;
-    /// The sync whose answer the next step waits for; 0 when none is.
-    std::uint64_t m_awaitedSync = 0;
-    /// How long answers to syncs take, weighted towards the newest.
+    /// The sync whose reply or timeout schedules the next one; 0 if there is none.
+    std::uint64_t m_pendingSync = 0;
+    /// Exponentially weighted average of sync round trips.
     milliseconds m_roundTrip { 0 };
     std::set<std::string> m_controls;
     std::string m_leader;
-    std::string m_hint;
-    std::string m_lastAsked;
+    std::string m_leaderHint;
+    std::string m_lastContacted;
     std::shared_ptr<const route_table> m_table;
     std::uint64_t m_directorySource = 0;
     std::uint64_t m_directoryVersion = 0;
     unsigned m_entries = 1;
-    /// Fingerprints of blocked requests, each with whether its block is certain.
+    /// Whether the block is certain, by fingerprint of the blocked request.
     std::map<std::uint64_t, bool> m_blocked;
     bool m_leaving = false;
-    bool m_suspecting = false;
+    bool m_probing = false;
     std::uint64_t m_lastPlan = 0;
     std::map<std::uint64_t, std::function<void(std::optional<wire::engine_plan_reply>)>> m_plans;
 };
--- a/Source/coordination/coordination.h
+++ b/Source/coordination/coordination.h
@@ -1,5 +1,5 @@
 #pragma once
-/// What the leader of the replicated document and the entries tell each other: configuration, endpoints, load, limits.
+/// Exchange of configuration, endpoints, load and limits between the leader of the replicated document and the entries.
 /// This is the library's one public header.
 #include "coordination/control_link.h"
 #include "coordination/endpoint_listener.h"
--- a/Source/coordination/document_cache.h
+++ b/Source/coordination/document_cache.h
@@ -7,32 +7,31 @@
 
 namespace pistachiolatch {
 
-/// The newest documents, and their packed forms, made once for all entries that ask. A transfer that has begun goes on
-/// with the version that it began with: were it started anew at each change, an entry on a slow link would get nothing for
-/// as long as changes come faster than the whole takes.
+/// Keeps the newest documents and their compressed forms, which all entries share. A transfer continues with the version
+/// that it started with: if each change restarted it, an entry on a slow link would receive nothing for as long as changes
+/// come faster than a full transfer.
 /// Not thread-safe.
-class document_shelf {
+class document_cache {
 public:
-    /// Takes in the newest document; older ones change nothing.
-    void put(const wire::document& document);
-    /// The newest document's packed form for a reader that holds a version, 0 for none. Null while there is no newer one.
-    std::shared_ptr<const packed_document> newestFor(std::uint64_t heldVersion);
-    /// The next piece of what a reader asks for, of at most so many bytes: of the transfer that it has begun, or the first
-    /// of the newest document. Nothing where it holds the newest.
-    std::optional<wire::document_piece> pieceFor(const wire::document_ask& ask, std::size_t mostBytes);
-    /// The memory that is held.
-    std::size_t bytes() const;
+    /// Adds the newest document; ignores older ones.
+    void store(const wire::document& document);
+    /// The newest document compressed for a reader that holds the given version, 0 for none. Null if there is no newer one.
+    std::shared_ptr<const compressed_document> compressedFor(std::uint64_t heldVersion);
+    /// The requested piece of a reader's transfer, or the first piece of the newest document if the transfer can't continue.
+    /// Nothing if the reader holds the newest document.
+    std::optional<wire::document_piece> findPiece(const wire::document_ask& request, std::size_t maxBytes);
+    std::size_t memoryBytes() const;
 
 private:
-    /// The packed form with which a reader's transfer began, here or at another leader; null where it can't be had.
-    std::shared_ptr<const packed_document> begun(std::uint64_t heldVersion, std::uint64_t version, std::uint64_t digest);
+    /// The compressed document of a transfer that was started here or at another leader; null if it is not available.
+    std::shared_ptr<const compressed_document> findTransfer(std::uint64_t heldVersion, std::uint64_t version, std::uint64_t digest);
     const wire::document* find(std::uint64_t version) const;
-    std::shared_ptr<const packed_document> packed(const wire::document& document, std::uint64_t heldVersion);
+    std::shared_ptr<const compressed_document> compress(const wire::document& document, std::uint64_t heldVersion);
 
     /// Newest last.
     std::deque<wire::document> m_documents;
-    /// Last used first.
-    std::list<std::shared_ptr<const packed_document>> m_packed;
+    /// Most recently used first.
+    std::list<std::shared_ptr<const compressed_document>> m_compressed;
 };
 
 } // namespace pistachiolatch
--- a/Source/coordination/endpoint_listener.h
+++ b/Source/coordination/endpoint_listener.h
@@ -5,17 +5,17 @@
 
 namespace pistachiolatch {
 
-/// What an entry learns of endpoints through its link to control.
+/// Receives endpoint updates from an entry's link to control, and provides the entry's own load.
 class endpoint_listener {
 public:
     virtual ~endpoint_listener() = default;
-    /// Rows that changed. Those of a source not heard before are everything that it knows.
+    /// Rows that changed, or all rows of a new directory source if everything is set.
     virtual void onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything) = 0;
-    /// What the other entries have at the endpoints; endpoints that are not named have nothing.
+    /// The load of all other entries by endpoint; endpoints that are not listed have none.
     virtual void onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>& others) = 0;
-    /// What this entry has at the endpoints, for the others.
+    /// Adds this entry's load by endpoint.
     virtual void fillLoad(google::protobuf::RepeatedPtrField<wire::endpoint_load>& own) const = 0;
-    /// The model calls that this entry has running.
+    /// Adds this entry's running model calls.
     virtual void fillCalls(google::protobuf::RepeatedPtrField<wire::running_call>& calls) const = 0;
 };
 
--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -4,12 +4,12 @@
 
 namespace {
     constexpr milliseconds expiryInterval { 500 };
-    /// How long a new leader listens before it places calls. Until every entry has told what it has running, engines look
-    /// empty and would be overfilled; entries place by themselves meanwhile.
-    constexpr milliseconds learnCalls { 400 };
-    /// An election takes about half a second; one in which votes are split, twice that.
-    constexpr milliseconds electionLasts { 1500 };
-    /// How long the leader may take to confirm that an endpoint leaves. Endpoints try the next VM after a second.
+    /// Delay before a new leader answers plan requests. Until every entry has reported its running calls, engines look idle
+    /// and would be overloaded; entries place calls themselves meanwhile.
+    constexpr milliseconds planningDelay { 400 };
+    /// An election takes about half a second, twice that if votes are split.
+    constexpr milliseconds electionDuration { 1500 };
+    /// Timeout of the leader's confirmation that an endpoint leaves. Endpoints try the next VM after a second.
     constexpr milliseconds confirmTimeout { 700 };
 }
 
@@ -54,13 +54,13 @@
 void entry_coordinator::onTimer()
 {
     auto now = m_clock.now();
-    std::vector<peer_connection*> silent;
+    std::vector<peer_connection*> expired;
     for (const auto& [entry, session] : m_entries) {
-        if (now - session.heardAt > m_settings.entryLease)
-            silent.push_back(entry);
+        if (now - session.lastSyncAt > m_settings.entryLease)
+            expired.push_back(entry);
     }
-    for (auto* entry : silent)
-        forgetEntry(entry);
+    for (auto* entry : expired)
+        removeEntry(entry);
     auto blocksBefore = m_blocks.version();
     bool changed = m_directory.expire(now);
     m_blocks.updateFromDirectory(m_directory, now);
@@ -76,10 +76,10 @@
         onSync(message, from);
         return true;
     case wire::envelope::kDocumentAsk:
-        onDocumentAsk(message.document_ask(), from);
+        onDocumentRequest(message.document_ask(), from);
         return true;
     case wire::envelope::kDirectoryAsk:
-        onDirectoryAsk(message.directory_ask(), from);
+        onDirectoryRequest(message.directory_ask(), from);
         return true;
     case wire::envelope::kReportEndpoint:
         onReport(message, from);
@@ -107,9 +107,9 @@
 
 void entry_coordinator::onPeerLost(const peer_network::peer& lost)
 {
-    forgetEntry(lost.get());
-    std::erase_if(m_waiting, [&](const auto& item) { return item.second.peer == lost; });
-    std::erase_if(m_waitingPlans, [&](const auto& item) { return item.second.peer == lost; });
+    removeEntry(lost.get());
+    std::erase_if(m_pendingLimits, [&](const auto& item) { return item.second.peer == lost; });
+    std::erase_if(m_pendingPlans, [&](const auto& item) { return item.second.peer == lost; });
 }
 
 void entry_coordinator::onSync(const wire::envelope& message, const peer_network::peer& from)
@@ -121,23 +121,23 @@
     for (const auto& address : m_replica.peers())
         update.add_controls(address);
     auto age = m_replica.confirmedAge();
-    if (m_replica.leads() && age) {
+    if (m_replica.isLeader() && age) {
         auto& session = m_entries[from.get()];
         if (session.name.empty())
-            session.name = std::to_string(++m_lastEntry);
+            session.name = std::to_string(++m_lastEntryNumber);
         session.peer = from;
-        session.heardAt = m_clock.now();
+        session.lastSyncAt = m_clock.now();
         session.documentVersion = sync.document_version();
-        session.takesPieces = sync.takes_pieces();
+        session.supportsPieces = sync.takes_pieces();
         session.directorySource = sync.directory_source();
         session.directoryVersion = sync.directory_version();
         m_loads.replace(session.name, sync.load());
-        // A new leader starts without blocks; during its first lease period it adopts the certain blocks that entries hold.
-        if (m_clock.now() - m_leadsSince < m_settings.entryLease)
+        // A new leader starts without blocks. During its first lease period it adopts the certain blocks of entries.
+        if (m_clock.now() - m_leaderSince < m_settings.entryLease)
             m_blocks.adopt(sync.blocked(), m_clock.now());
         m_planner.takeCalls(session.name, { sync.calls().begin(), sync.calls().end() }, m_clock.now());
         if (sync.leaving())
-            forgetEntry(from.get());
+            removeEntry(from.get());
         update.set_leads(true);
         update.set_confirmed_age_ms(static_cast<std::uint32_t>(age->count()));
         if (!sync.leaving()) {
@@ -150,67 +150,67 @@
 
 void entry_coordinator::onDocumentChanged()
 {
-    m_shelf.put(m_replica.document());
+    m_documents.store(m_replica.document());
     configureLimits();
     pushChanges();
 }
 
-void entry_coordinator::onLeadershipChanged(bool leads)
+void entry_coordinator::onLeadershipChanged(bool isLeader)
 {
     m_entries.clear();
     m_pacer.clear();
     m_loads.clear();
-    m_waiting.clear();
-    m_waitingPlans.clear();
-    m_queue.clear();
+    m_pendingLimits.clear();
+    m_pendingPlans.clear();
+    m_planQueue.clear();
     m_planner = engine_planner(freshIncarnation());
-    m_planned = 0;
+    m_plannerVersion = 0;
     m_limits.reset();
-    m_limited.clear();
+    m_limitedOrganisations.clear();
     m_blocks.clear();
-    if (!leads)
+    if (!isLeader)
         return;
-    m_shelf.put(m_replica.document());
-    m_leadsSince = m_clock.now();
-    m_planFrom = m_leadsSince + learnCalls;
+    m_documents.store(m_replica.document());
+    m_leaderSince = m_clock.now();
+    m_planningStartsAt = m_leaderSince + planningDelay;
     m_limits.emplace(m_clock.now());
     configureLimits();
 }
 
-void entry_coordinator::forgetEntry(peer_connection* entry)
+void entry_coordinator::removeEntry(peer_connection* entry)
 {
     auto found = m_entries.find(entry);
     if (found == m_entries.end())
         return;
     m_planner.forgetEntry(found->second.name);
-    m_queue.forget(found->second.name);
-    m_loads.forget(found->second.name);
-    m_pacer.forget(entry);
+    m_planQueue.forget(found->second.name);
+    m_loads.remove(found->second.name);
+    m_pacer.remove(entry);
     m_entries.erase(found);
 }
 
-void entry_coordinator::report(const wire::endpoint_report& report, std::function<void(bool)> handler)
+void entry_coordinator::handleReport(const wire::endpoint_report& report, std::function<void(bool)> handler)
 {
-    if (takeReport(report))
+    if (applyReport(report))
         pushChanges();
-    bool leaves = report.state() != wire::ENDPOINT_SERVING;
+    bool isLeaving = report.state() != wire::ENDPOINT_SERVING;
     auto leader = m_replica.leaderAddress();
-    bool leadsHere = m_replica.leads();
+    bool isLeader = m_replica.isLeader();
     for (const auto& address : m_replica.peers()) {
-        if (leaves && address == leader)
+        if (isLeaving && address == leader)
             continue;
         wire::envelope message;
         *message.mutable_report_endpoint()->mutable_report() = report;
         m_network.send(address, std::move(message));
     }
-    // A process cut off from the leader for long would take an endpoint's reports without anybody learning of them, and
-    // the endpoint would count as silent. Unconfirmed, it turns to another process. An election is no reason: the next
-    // leader hears what is reported meanwhile.
+    // While this process is cut off from the leader, reports don't reach it and the endpoint would count as silent.
+    // Without a confirmation the endpoint reports to another process. During an election reports are still confirmed, since
+    // the next leader receives them.
     auto now = m_clock.now();
     if (!leader.empty())
         m_leaderKnownAt = now;
-    bool cutOff = leader.empty() && m_leaderKnownAt != time_point {} && now - m_leaderKnownAt > electionLasts;
-    if (leadsHere || (!leaves && !cutOff)) {
+    bool cutOff = leader.empty() && m_leaderKnownAt != time_point {} && now - m_leaderKnownAt > electionDuration;
+    if (isLeader || (!isLeaving && !cutOff)) {
         handler(true);
         return;
     }
@@ -225,7 +225,7 @@
     });
 }
 
-bool entry_coordinator::takeReport(const wire::endpoint_report& report)
+bool entry_coordinator::applyReport(const wire::endpoint_report& report)
 {
     auto now = m_clock.now();
     auto blocksBefore = m_blocks.version();
@@ -240,9 +240,9 @@
 {
     wire::envelope reply;
     auto& answer = *reply.mutable_crash_reply();
-    if (m_replica.leads()) {
+    if (m_replica.isLeader()) {
         auto blocksBefore = m_blocks.version();
-        answer.set_crashes(m_blocks.suspect(message.crash(), m_clock.now()));
+        answer.set_crashes(m_blocks.addSuspectedCrash(message.crash(), m_clock.now()));
         logEvent("crash_suspected", { { "request", message.crash().request_id() }, { "endpoint", message.crash().endpoint() }, { "fingerprint", message.crash().fingerprint() }, { "crashes", answer.crashes() } });
         m_metrics.count("crash_suspected");
         if (m_blocks.version() != blocksBefore)
@@ -253,12 +253,12 @@
 
 void entry_coordinator::onReport(const wire::envelope& message, const peer_network::peer& from)
 {
-    if (takeReport(message.report_endpoint().report()))
+    if (applyReport(message.report_endpoint().report()))
         pushChanges();
     if (message.call() == 0)
         return;
     wire::envelope reply;
-    reply.mutable_report_endpoint_reply()->set_taken(m_replica.leads());
+    reply.mutable_report_endpoint_reply()->set_taken(m_replica.isLeader());
     peer_network::reply(from, message, std::move(reply));
 }
 
--- a/Source/coordination/entry_coordinator.h
+++ b/Source/coordination/entry_coordinator.h
@@ -14,103 +14,104 @@
 
 namespace pistachiolatch {
 
-/// What a deployment tolerates beyond an organisation's rate and burst in any window. Half of it goes to the bucket, so
-/// that a single request larger than a small organisation's burst is served and chance bursts within the tolerance are
-/// not refused. Of the other half, one part is what a new owner of the limits starts with, since it can't know what its
-/// predecessor let through: with nothing, it refused what had been within the limits for seconds. The rest is what
-/// entries let through while the limits have no owner.
+/// Tokens that a deployment tolerates beyond an organisation's rate and burst in any window. Half of them extend the
+/// bucket, so that a single request above a small organisation's burst is granted and random bursts within the tolerance
+/// are not refused. Of the other half, a quarter of the slack is for entries while the limits have no owner. The rest is what
+/// a new owner starts with: it can't know what its predecessor granted, and starting empty would refuse requests within the
+/// limits for seconds.
 struct limit_tolerance {
-    /// Share of what rate and burst allow in a window.
+    /// Share of the tokens that rate and burst allow in a window.
     double overshoot = 0;
     std::uint64_t slackTokens = 0;
     milliseconds window { 0 };
 
-    /// The tokens that an organisation may have beyond its burst at once.
+    /// Tokens by which the bucket exceeds the burst.
     std::uint64_t extraBurst(std::uint64_t rate, std::uint64_t burst) const
     {
         auto allowed = static_cast<double>(rate) * std::chrono::duration<double>(window).count() + static_cast<double>(burst);
         return static_cast<std::uint64_t>((overshoot * allowed + static_cast<double>(slackTokens)) / 2);
     }
-    /// What a new owner starts an organisation with.
-    std::uint64_t startTokens(std::uint64_t rate, std::uint64_t burst) const { return extraBurst(rate, burst) - slackTokens / 4; }
-    /// What all entries together may let through for each organisation while the limits have no owner.
-    std::uint64_t withoutOwner() const { return slackTokens / 4; }
+    /// Tokens in the bucket of a new owner.
+    std::uint64_t initialTokens(std::uint64_t rate, std::uint64_t burst) const { return extraBurst(rate, burst) - slackTokens / 4; }
+    /// Tokens of each organisation that all entries together may grant while the limits have no owner.
+    std::uint64_t fallbackTokens() const { return slackTokens / 4; }
 };
 
 struct coordinator_settings {
     directory_settings directory;
-    /// An entry that is silent for longer than its lease lasts can't act any more, and is forgotten.
+    /// Removes an entry that sends no sync for this long: its lease has expired, so it serves no requests.
     milliseconds entryLease { 4000 };
     limit_tolerance tolerance;
-    /// Names this VM as the holder of orders.
+    /// Name of this VM, sent as the holder of stage orders.
     std::string vm;
 };
 
-/// Reads a document's body into the configuration it holds.
+/// Parses a document's body.
 using configuration_decoder = std::function<result<configuration>(const std::string& body)>;
 
-/// The part of control that entries and endpoints deal with. Every control process keeps the whole directory of
-/// endpoints, since any of them may lead next; only the leader speaks to entries and owns the limits.
-/// Thread safety: everything is called on the thread that runs the context.
+/// The part of a control process that serves entries and endpoints. Every control process keeps the whole directory of
+/// endpoints, since any of them may be elected; only the leader answers entries and owns the limits.
+/// Thread safety: all calls on the thread that runs the context.
 class entry_coordinator {
 public:
     entry_coordinator(boost::asio::io_context& context, peer_network& network, document_replica& replica, const clock_source& clock,
         metrics& counters, coordinator_settings settings, configuration_decoder decode);
 
-    /// Gives orders to endpoints through this; without it none are given. Precondition: it outlives the coordinator.
-    void setStageOrderClient(stage_order_client& orders) { m_orders = &orders; }
+    /// Enables stage orders to endpoints. Precondition: the client outlives the coordinator.
+    void setStageOrderClient(stage_order_client& client) { m_stageOrders = &client; }
     void start();
     void stop();
-    /// Takes in what a peer sent, if it is for this part. Returns whether it was.
+    /// Handles a message of a peer. Returns false if it is none of this class.
     bool onMessage(const wire::envelope& message, const peer_network::peer& from);
     void onPeerLost(const peer_network::peer& lost);
     void onDocumentChanged();
-    void onLeadershipChanged(bool leads);
-    /// Takes in a report that an endpoint sent here. That an endpoint leaves is confirmed once the leader knows it and
-    /// has told the entries: an endpoint takes the confirmation as word that no new work will come.
-    void report(const wire::endpoint_report& report, std::function<void(bool taken)> handler);
+    void onLeadershipChanged(bool isLeader);
+    /// Handles a report that an endpoint sent to this process. A report that the endpoint leaves is confirmed once the
+    /// leader has it and has updated the entries: after the confirmation the endpoint expects no new work.
+    void handleReport(const wire::endpoint_report& report, std::function<void(bool confirmed)> handler);
 
 private:
     struct entry_session {
-        /// Names the session towards the planner and in the loads.
+        /// Identifies the entry in the planner, the plan queue and the loads.
         std::string name;
         peer_network::peer peer;
         std::uint64_t documentVersion = 0;
         std::uint64_t directorySource = 0;
         std::uint64_t directoryVersion = 0;
-        /// The version of the request blocks last sent to it, if any.
+        /// The version of the request blocks that was sent last, if any.
         std::optional<std::uint64_t> blocksVersion;
-        time_point heardAt;
-        /// Whether it asks for documents in pieces, and the piece that it asked for last.
-        bool takesPieces = false;
-        wire::document_ask asked;
+        time_point lastSyncAt;
+        /// False for entries of an earlier version, which need whole documents.
+        bool supportsPieces = false;
+        /// The last request for a piece.
+        wire::document_ask pieceRequest;
     };
-    struct waiting_answer {
+    struct pending_request {
         peer_network::peer peer;
-        wire::envelope call;
+        wire::envelope message;
     };
 
     void onSync(const wire::envelope& message, const peer_network::peer& from);
-    void onDocumentAsk(const wire::document_ask& ask, const peer_network::peer& from);
-    void onDirectoryAsk(const wire::directory_ask& ask, const peer_network::peer& from);
+    void onDocumentRequest(const wire::document_ask& request, const peer_network::peer& from);
+    void onDirectoryRequest(const wire::directory_ask& request, const peer_network::peer& from);
     void sendPieces();
     bool sendPiece(entry_session& session);
     void fillEndpoints(wire::entry_update& update, entry_session& session);
     void onReport(const wire::envelope& message, const peer_network::peer& from);
     /// Applies an endpoint's report to the directory and the request blocks. Returns whether either changed.
-    bool takeReport(const wire::endpoint_report& report);
+    bool applyReport(const wire::endpoint_report& report);
     void onCrash(const wire::envelope& message, const peer_network::peer& from);
     void onPlanRequest(const wire::envelope& message, const peer_network::peer& from);
     void onRelease(const wire::envelope& message, const peer_network::peer& from);
-    void answerPlans();
-    void answerPlan(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter);
-    void forgetEntry(peer_connection* entry);
-    void refreshPlanner();
+    void processPlanQueue();
+    void sendPlanReply(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter);
+    void removeEntry(peer_connection* entry);
+    void updatePlanner();
     void balanceStages();
     void onLimitRequest(const wire::envelope& message, const peer_network::peer& from);
     void fillUpdate(wire::entry_update& update, entry_session& session);
     void pushChanges();
-    void answerLimits();
+    void processLimitRequests();
     void configureLimits();
     void onTimer();
 
@@ -125,26 +126,27 @@
     request_blocks m_blocks;
     std::map<peer_connection*, entry_session> m_entries;
     entry_loads m_loads;
-    document_shelf m_shelf;
+    document_cache m_documents;
     transfer_pacer<peer_connection*> m_pacer;
     boost::asio::steady_timer m_pieceTimer;
     engine_planner m_planner;
-    stage_order_client* m_orders = nullptr;
-    time_point m_leadsSince {};
-    /// From when on this leader places calls.
-    time_point m_planFrom {};
-    /// When a leader was last known here.
+    stage_order_client* m_stageOrders = nullptr;
+    time_point m_leaderSince {};
+    /// This leader answers plan requests from then on.
+    time_point m_planningStartsAt {};
+    /// When a leader was last known to this process.
     time_point m_leaderKnownAt {};
-    /// The directory's version that the planner has.
-    std::uint64_t m_planned = 0;
-    std::uint64_t m_lastEntry = 0;
-    plan_queue m_queue;
-    std::map<std::uint64_t, waiting_answer> m_waitingPlans;
+    /// The directory version that the planner has.
+    std::uint64_t m_plannerVersion = 0;
+    std::uint64_t m_lastEntryNumber = 0;
+    plan_queue m_planQueue;
+    std::map<std::uint64_t, pending_request> m_pendingPlans;
     boost::asio::steady_timer m_planTimer;
     bool m_planTimerArmed = false;
     std::optional<limit_owner> m_limits;
-    std::set<std::string> m_limited;
-    std::map<std::uint64_t, waiting_answer> m_waiting;
+    /// Organisations that m_limits holds.
+    std::set<std::string> m_limitedOrganisations;
+    std::map<std::uint64_t, pending_request> m_pendingLimits;
     std::uint64_t m_lastTicket = 0;
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_limitTimer;
--- a/Source/coordination/entry_coordinator_limits.cpp
+++ b/Source/coordination/entry_coordinator_limits.cpp
@@ -1,10 +1,10 @@
-// The part of the coordinator that owns the organisations' limits.
+// Limits of the organisations.
 #include "coordination/entry_coordinator.h"
 
 namespace pistachiolatch {
 
 namespace {
-    /// How often questions that wait for tokens are looked at. Short beside the time that callers are content with.
+    /// How often waiting requests for tokens are retried. Short compared with the latency that callers tolerate.
     constexpr milliseconds limitInterval { 20 };
 }
 
@@ -22,47 +22,47 @@
         if (one.rate == 0)
             continue;
         const auto& tolerance = m_settings.tolerance;
-        m_limits->configure(one.name, one.rate, one.burst + tolerance.extraBurst(one.rate, one.burst), m_clock.now(), tolerance.startTokens(one.rate, one.burst));
+        m_limits->configure(one.name, one.rate, one.burst + tolerance.extraBurst(one.rate, one.burst), m_clock.now(), tolerance.initialTokens(one.rate, one.burst));
         limited.insert(one.name);
     }
-    for (const auto& name : m_limited) {
+    for (const auto& name : m_limitedOrganisations) {
         if (!limited.count(name))
             m_limits->remove(name);
     }
-    m_limited = std::move(limited);
-    answerLimits();
+    m_limitedOrganisations = std::move(limited);
+    processLimitRequests();
 }
 
 void entry_coordinator::onLimitRequest(const wire::envelope& message, const peer_network::peer& from)
 {
-    const auto& asked = message.limit();
-    if (!m_limits || !m_replica.leads()) {
+    const auto& request = message.limit();
+    if (!m_limits || !m_replica.isLeader()) {
         wire::envelope reply;
         reply.mutable_limit_reply()->set_wrong_owner(true);
         peer_network::reply(from, message, std::move(reply));
         return;
     }
     auto ticket = ++m_lastTicket;
-    m_waiting[ticket] = { from, message };
-    m_limits->ask({ asked.organisation(), asked.need(), asked.ahead(), milliseconds(asked.patience_ms()), ticket }, m_clock.now());
-    answerLimits();
+    m_pendingLimits[ticket] = { from, message };
+    m_limits->ask({ request.organisation(), request.need(), request.ahead(), milliseconds(request.patience_ms()), ticket }, m_clock.now());
+    processLimitRequests();
 }
 
-void entry_coordinator::answerLimits()
+void entry_coordinator::processLimitRequests()
 {
     if (!m_limits)
         return;
-    for (const auto& verdict : m_limits->step(m_clock.now())) {
-        auto found = m_waiting.find(verdict.ticket);
-        if (found == m_waiting.end())
+    for (const auto& decision : m_limits->step(m_clock.now())) {
+        auto found = m_pendingLimits.find(decision.ticket);
+        if (found == m_pendingLimits.end())
             continue;
         wire::envelope reply;
         auto& answer = *reply.mutable_limit_reply();
-        answer.set_organisation(verdict.organisation);
-        answer.set_granted(verdict.granted);
-        answer.set_retry_after_ms(static_cast<std::uint32_t>(verdict.retryAfter.count()));
-        peer_network::reply(found->second.peer, found->second.call, std::move(reply));
-        m_waiting.erase(found);
+        answer.set_organisation(decision.organisation);
+        answer.set_granted(decision.granted);
+        answer.set_retry_after_ms(static_cast<std::uint32_t>(decision.retryAfter.count()));
+        peer_network::reply(found->second.peer, found->second.message, std::move(reply));
+        m_pendingLimits.erase(found);
     }
     if (!m_limits->hasWaiting() || m_limitTimerArmed)
         return;
@@ -71,7 +71,7 @@
     m_limitTimer.async_wait([this](boost::system::error_code error) {
         m_limitTimerArmed = false;
         if (!error)
-            answerLimits();
+            processLimitRequests();
     });
 }
 
--- a/Source/coordination/entry_coordinator_plans.cpp
+++ b/Source/coordination/entry_coordinator_plans.cpp
@@ -1,64 +1,64 @@
-// The part of the coordinator that answers where model calls go.
+// Placement of model calls.
 #include "coordination/entry_coordinator.h"
 
 namespace pistachiolatch {
 
 namespace {
-    /// How often calls that wait for memory are looked at, beside whenever a call ends.
+    /// How often calls that wait for engine memory are retried, besides whenever a call ends.
     constexpr milliseconds planInterval { 30 };
 
-    engine_ask readAsk(const wire::engine_plan_request& asked)
+    engine_ask decodeRequest(const wire::engine_plan_request& request)
     {
         engine_ask ask;
-        ask.callId = asked.call_id();
-        ask.service = asked.service();
-        ask.dataCentre = asked.data_centre();
-        ask.promptTokens = asked.prompt_tokens();
-        ask.outputTokens = asked.output_tokens();
-        ask.memoryTokens = asked.memory_tokens();
-        ask.exclude = { asked.exclude().begin(), asked.exclude().end() };
-        ask.avoid = { asked.avoid().begin(), asked.avoid().end() };
+        ask.callId = request.call_id();
+        ask.service = request.service();
+        ask.dataCentre = request.data_centre();
+        ask.promptTokens = request.prompt_tokens();
+        ask.outputTokens = request.output_tokens();
+        ask.memoryTokens = request.memory_tokens();
+        ask.exclude = { request.exclude().begin(), request.exclude().end() };
+        ask.avoid = { request.avoid().begin(), request.avoid().end() };
         return ask;
     }
 }
 
-void entry_coordinator::refreshPlanner()
+void entry_coordinator::updatePlanner()
 {
-    if (m_planned == m_directory.version())
+    if (m_plannerVersion == m_directory.version())
         return;
-    for (const auto& row : m_directory.changesSince(m_planned))
+    for (const auto& row : m_directory.changesSince(m_plannerVersion))
         m_planner.takeEndpoint(row);
-    m_planned = m_directory.version();
+    m_plannerVersion = m_directory.version();
 }
 
 void entry_coordinator::onPlanRequest(const wire::envelope& message, const peer_network::peer& from)
 {
-    if (!m_entries.count(from.get()) || !m_replica.leads() || m_clock.now() < m_planFrom) {
+    if (!m_entries.count(from.get()) || !m_replica.isLeader() || m_clock.now() < m_planningStartsAt) {
         wire::envelope reply;
         reply.mutable_engine_plan_reply()->set_unavailable(true);
         peer_network::reply(from, message, std::move(reply));
         return;
     }
-    const auto& asked = message.engine_plan_request();
+    const auto& request = message.engine_plan_request();
     auto now = m_clock.now();
     auto ticket = ++m_lastTicket;
-    m_waitingPlans[ticket] = { from, message };
-    plan_question question;
-    question.ticket = ticket;
-    question.entry = m_entries[from.get()].name;
-    question.ask = readAsk(asked);
-    question.giveUpAt = now + milliseconds(asked.patience_ms());
-    // An entry of an earlier version doesn't tell.
-    question.targetAt = asked.target_left_ms() > 0 ? now + milliseconds(asked.target_left_ms()) : time_point::max();
-    question.begun = asked.begun();
-    m_queue.add(std::move(question));
-    answerPlans();
+    m_pendingPlans[ticket] = { from, message };
+    plan_question queued;
+    queued.ticket = ticket;
+    queued.entry = m_entries[from.get()].name;
+    queued.ask = decodeRequest(request);
+    queued.giveUpAt = now + milliseconds(request.patience_ms());
+    // Entries of earlier versions don't send this field.
+    queued.targetAt = request.target_left_ms() > 0 ? now + milliseconds(request.target_left_ms()) : time_point::max();
+    queued.begun = request.begun();
+    m_planQueue.add(std::move(queued));
+    processPlanQueue();
 }
 
-void entry_coordinator::answerPlan(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter)
+void entry_coordinator::sendPlanReply(std::uint64_t ticket, const engine_plan& plan, milliseconds retryAfter)
 {
-    auto found = m_waitingPlans.find(ticket);
-    if (found == m_waitingPlans.end())
+    auto found = m_pendingPlans.find(ticket);
+    if (found == m_pendingPlans.end())
         return;
     wire::envelope reply;
     auto& answer = *reply.mutable_engine_plan_reply();
@@ -69,23 +69,23 @@
         m_metrics.count("engines_full");
         answer.set_retry_after_ms(static_cast<std::uint32_t>(retryAfter.count()));
     }
-    peer_network::reply(found->second.peer, found->second.call, std::move(reply));
-    m_waitingPlans.erase(found);
+    peer_network::reply(found->second.peer, found->second.message, std::move(reply));
+    m_pendingPlans.erase(found);
 }
 
-void entry_coordinator::answerPlans()
+void entry_coordinator::processPlanQueue()
 {
-    refreshPlanner();
-    for (const auto& verdict : m_queue.step(m_planner, m_clock.now()))
-        answerPlan(verdict.ticket, verdict.plan, verdict.retryAfter);
-    if (m_queue.empty() || m_planTimerArmed)
+    updatePlanner();
+    for (const auto& decision : m_planQueue.step(m_planner, m_clock.now()))
+        sendPlanReply(decision.ticket, decision.plan, decision.retryAfter);
+    if (m_planQueue.empty() || m_planTimerArmed)
         return;
     m_planTimerArmed = true;
     m_planTimer.expires_after(planInterval);
     m_planTimer.async_wait([this](boost::system::error_code error) {
         m_planTimerArmed = false;
         if (!error)
-            answerPlans();
+            processPlanQueue();
     });
 }
 
@@ -103,8 +103,8 @@
         m_planner.noteFailure(id, m_clock.now());
     for (const auto& id : release.refused())
         m_planner.noteRefusal(id, m_clock.now());
-    if (!m_queue.empty())
-        answerPlans();
+    if (!m_planQueue.empty())
+        processPlanQueue();
 }
 
 } // namespace pistachiolatch
--- a/Source/coordination/entry_coordinator_stages.cpp
+++ b/Source/coordination/entry_coordinator_stages.cpp
@@ -1,32 +1,32 @@
-// The part of the coordinator that keeps the stages of engines in balance.
+// Balancing of the engines' serving stages.
 #include "coordination/entry_coordinator.h"
 
 namespace pistachiolatch {
 
 namespace {
-    /// How long a new leader gives no orders: longer than the lease of any that came before, so that no two holders take
-    /// turns at one endpoint.
-    constexpr milliseconds learnStages { 5000 };
-    /// How long an engine is left alone after an order. It ends its calls first, and then takes seconds to change.
-    constexpr milliseconds changeLasts { 20000 };
+    /// Delay before a new leader sends orders. Longer than the lease of any former leader, so that two leaders never send
+    /// alternating orders to an endpoint.
+    constexpr milliseconds stageOrderDelay { 5000 };
+    /// Time without further orders to an engine. It finishes its calls first, then takes seconds to change the stage.
+    constexpr milliseconds stageChangeDuration { 20000 };
 }
 
 void entry_coordinator::balanceStages()
 {
     auto now = m_clock.now();
-    if (!m_orders || !m_replica.leads() || now < m_leadsSince + learnStages)
+    if (!m_stageOrders || !m_replica.isLeader() || now < m_leaderSince + stageOrderDelay)
         return;
-    refreshPlanner();
+    updatePlanner();
     auto change = m_planner.stageToChange(now);
     const auto* report = change ? m_planner.reportOf(change->engine) : nullptr;
     if (!report)
         return;
-    m_planner.beginChange(*change, now + changeLasts);
+    m_planner.beginChange(*change, now + stageChangeDuration);
     auto term = m_replica.term();
     stage_order order { change->engine, change->to, m_settings.vm, term, 0 };
-    auto stillLeads = [this, term] { return m_replica.leads() && m_replica.term() == term; };
+    auto isLeader = [this, term] { return m_replica.isLeader() && m_replica.term() == term; };
     m_metrics.count("stage_orders");
-    m_orders->give(report->address(), std::move(order), stillLeads, [this, engine = change->engine](bool accepted) {
+    m_stageOrders->send(report->address(), std::move(order), isLeader, [this, engine = change->engine](bool accepted) {
         if (!accepted)
             m_planner.endChange(engine, m_clock.now());
     });
--- a/Source/coordination/entry_coordinator_state.cpp
+++ b/Source/coordination/entry_coordinator_state.cpp
@@ -1,4 +1,4 @@
-// The part of the coordinator that hands configuration and endpoints to the entries.
+// Distribution of configuration and endpoints to entries.
 #include "coordination/entry_coordinator.h"
 
 #include <algorithm>
@@ -6,11 +6,11 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Some 13 ms at 10 Mbit/s: what is sent behind a piece hardly waits.
+    /// About 13 ms at 10 Mbit/s, so that other messages hardly wait behind a piece.
     constexpr std::size_t pieceBytes = 16UL * 1024;
-    /// An age that says no more than that any bound on changes is over.
-    constexpr milliseconds oldestTold = std::chrono::hours(24);
-    /// Endpoints in one update; as many bytes as a piece, or fewer.
+    /// Ages are capped at this value, which is above any bound on changes.
+    constexpr milliseconds maxReportedAge = std::chrono::hours(24);
+    /// Endpoints in one update; at most about the size of a piece.
     constexpr std::size_t endpointsPerUpdate = 100;
 }
 
@@ -18,10 +18,10 @@
 {
     const auto& document = m_replica.document();
     update.set_document_version(document.version());
-    update.set_document_age_ms(static_cast<std::uint32_t>(std::min(m_replica.documentAge(), oldestTold).count()));
+    update.set_document_age_ms(static_cast<std::uint32_t>(std::min(m_replica.documentAge(), maxReportedAge).count()));
     if (document.version() > session.documentVersion) {
-        // An entry of an earlier version knows nothing of pieces.
-        if (!session.takesPieces)
+        // Entries of earlier versions don't support pieces.
+        if (!session.supportsPieces)
             *update.mutable_document() = document;
         session.documentVersion = document.version();
     }
@@ -36,8 +36,8 @@
 void entry_coordinator::fillEndpoints(wire::entry_update& update, entry_session& session)
 {
     bool known = session.directorySource == m_directory.source();
-    auto most = session.takesPieces ? endpointsPerUpdate : m_directory.size();
-    auto page = m_directory.pageSince(known ? session.directoryVersion : 0, most);
+    auto maxRows = session.supportsPieces ? endpointsPerUpdate : m_directory.size();
+    auto page = m_directory.pageSince(known ? session.directoryVersion : 0, maxRows);
     for (auto& row : page.rows)
         *update.add_endpoints() = std::move(row);
     update.set_directory_source(m_directory.source());
@@ -49,7 +49,7 @@
 
 void entry_coordinator::pushChanges()
 {
-    if (!m_replica.leads())
+    if (!m_replica.isLeader())
         return;
     for (auto& [peer, session] : m_entries) {
         bool current = session.documentVersion >= m_replica.document().version() && session.directorySource == m_directory.source()
@@ -62,28 +62,28 @@
     }
 }
 
-void entry_coordinator::onDirectoryAsk(const wire::directory_ask& ask, const peer_network::peer& from)
+void entry_coordinator::onDirectoryRequest(const wire::directory_ask& request, const peer_network::peer& from)
 {
     auto found = m_entries.find(from.get());
-    if (found == m_entries.end() || !m_replica.leads())
+    if (found == m_entries.end() || !m_replica.isLeader())
         return;
-    found->second.directorySource = ask.source();
-    found->second.directoryVersion = ask.version();
+    found->second.directorySource = request.source();
+    found->second.directoryVersion = request.version();
     wire::envelope message;
     fillUpdate(*message.mutable_entry_update(), found->second);
     from->send(message);
 }
 
-void entry_coordinator::onDocumentAsk(const wire::document_ask& ask, const peer_network::peer& from)
+void entry_coordinator::onDocumentRequest(const wire::document_ask& request, const peer_network::peer& from)
 {
     auto found = m_entries.find(from.get());
-    if (found == m_entries.end() || !m_replica.leads())
+    if (found == m_entries.end() || !m_replica.isLeader())
         return;
-    if (ask.version() == 0 && ask.held_version() >= m_replica.document().version()) {
+    if (request.version() == 0 && request.held_version() >= m_replica.document().version()) {
         m_pacer.finish(from.get(), m_clock.now());
     } else {
-        found->second.asked = ask;
-        m_pacer.ask(from.get(), m_clock.now());
+        found->second.pieceRequest = request;
+        m_pacer.request(from.get(), m_clock.now());
     }
     sendPieces();
 }
@@ -93,9 +93,9 @@
     while (auto reader = m_pacer.next(m_clock.now())) {
         auto found = m_entries.find(*reader);
         if (found == m_entries.end() || !sendPiece(found->second))
-            m_pacer.forget(*reader);
+            m_pacer.remove(*reader);
     }
-    auto due = m_pacer.nextDue(m_clock.now());
+    auto due = m_pacer.nextPollAt(m_clock.now());
     if (due == time_point::max())
         return;
     m_pieceTimer.expires_after(due - m_clock.now());
@@ -107,7 +107,7 @@
 
 bool entry_coordinator::sendPiece(entry_session& session)
 {
-    auto piece = m_shelf.pieceFor(session.asked, pieceBytes);
+    auto piece = m_documents.findPiece(session.pieceRequest, pieceBytes);
     if (!piece)
         return false;
     wire::envelope message;
--- a/Source/coordination/entry_loads.cpp
+++ b/Source/coordination/entry_loads.cpp
@@ -4,10 +4,10 @@
 
 void entry_loads::replace(const std::string& entry, const loads& reported)
 {
-    forget(entry);
+    remove(entry);
     auto& own = m_entries[entry];
     for (const auto& one : reported) {
-        // An endpoint that is named twice counts by its last line, as it does for the sums.
+        // If an endpoint is listed twice, the last row counts, also in the sums.
         auto& mine = own[one.id()];
         subtract(one.id(), mine);
         mine = { one.requests(), one.tokens() };
@@ -17,7 +17,7 @@
     }
 }
 
-void entry_loads::forget(const std::string& entry)
+void entry_loads::remove(const std::string& entry)
 {
     auto found = m_entries.find(entry);
     if (found == m_entries.end())
--- a/Source/coordination/entry_loads.h
+++ b/Source/coordination/entry_loads.h
@@ -5,17 +5,17 @@
 
 namespace pistachiolatch {
 
-/// What the entries have at each endpoint, as they report it. Sums are kept as reports come: added up anew for each entry
-/// that asks, the leader's work grew with the square of the entries. Pure; not thread-safe.
+/// The load that each entry reports by endpoint. Sums are updated with each report: summing up for each entry that asks
+/// would make the leader's work grow with the square of the number of entries. Performs no I/O. Not thread-safe.
 class entry_loads {
 public:
     using loads = google::protobuf::RepeatedPtrField<wire::endpoint_load>;
 
-    /// Takes an entry's report in place of its last.
+    /// Replaces an entry's last report.
     void replace(const std::string& entry, const loads& reported);
-    void forget(const std::string& entry);
+    void remove(const std::string& entry);
     void clear();
-    /// What all other entries have; endpoints at which they have nothing are left out.
+    /// Adds the load of all other entries; leaves out endpoints without any.
     void fillOthers(const std::string& entry, loads& others) const;
 
 private:
--- a/Source/coordination/request_blocks.cpp
+++ b/Source/coordination/request_blocks.cpp
@@ -6,10 +6,10 @@
 
 namespace {
     /// Limits the certain blocks, and so the size of updates to entries. The blocks that expire first are evicted.
-    constexpr std::size_t mostBlocks = 1000;
+    constexpr std::size_t maxBlocks = 1000;
 }
 
-std::uint32_t request_blocks::suspect(const wire::crash_report& report, time_point now)
+std::uint32_t request_blocks::addSuspectedCrash(const wire::crash_report& report, time_point now)
 {
     m_suspects.suspect(report, now);
     refresh(now);
@@ -31,7 +31,7 @@
 {
     for (const auto& [id, suspectedAt] : m_suspects.suspectedEndpoints()) {
         const auto* row = directory.find(id);
-        // A farewell removes the suspicion, so a suspected endpoint that is gone was replaced by another run.
+        // ENDPOINT_GONE in a report removes the suspicion, so a suspected endpoint that is gone was replaced by another run.
         bool gone = !row || row->report().state() == wire::ENDPOINT_GONE;
         bool silent = row && row->silent() && now - suspectedAt > m_settings.silentAfter;
         if (gone || silent)
@@ -66,7 +66,7 @@
             m_certain.try_emplace(fingerprint, now + m_settings.blockLifetime);
     }
     std::erase_if(m_certain, [now](const auto& item) { return item.second < now; });
-    while (m_certain.size() > mostBlocks)
+    while (m_certain.size() > maxBlocks)
         m_certain.erase(std::min_element(m_certain.begin(), m_certain.end(), [](const auto& a, const auto& b) { return a.second < b.second; }));
 
     wire::blocked_requests blocks;
--- a/Source/coordination/request_blocks.h
+++ b/Source/coordination/request_blocks.h
@@ -17,7 +17,7 @@
 /// Decides which requests entries refuse because endpoints crash while running them. A request is blocked once connections
 /// to crash_suspects::crashesToBlock endpoints broke while they ran it. The block becomes certain when those endpoints have
 /// restarted or fallen silent. A suspicion is removed when the endpoint reports again from the same run, since then only the
-/// connection broke, or when it says farewell. Performs no I/O. Not thread-safe.
+/// connection broke, or when it reports ENDPOINT_GONE. Performs no I/O. Not thread-safe.
 class request_blocks {
 public:
     explicit request_blocks(block_settings settings)
@@ -27,7 +27,7 @@
 
     /// Records that the connection to an endpoint broke while it ran a request. Returns the number of crashes, certain or
     /// suspected, that count against the request.
-    std::uint32_t suspect(const wire::crash_report& report, time_point now);
+    std::uint32_t addSuspectedCrash(const wire::crash_report& report, time_point now);
     /// Confirms or removes suspicions against an endpoint according to its report.
     void onReport(const wire::endpoint_report& report, time_point now);
     /// Confirms the crashes of endpoints that are gone or silent in the directory, and drops expired crashes and blocks.
--- a/Source/coordination/stage_order_client.cpp
+++ b/Source/coordination/stage_order_client.cpp
@@ -6,35 +6,35 @@
 
 namespace {
     constexpr milliseconds connectTimeout { 400 };
-    /// An endpoint that carries orders out late leaves them unanswered for seconds; its reports tell what came of them.
+    /// An endpoint may take seconds to answer an order; its reports show the result then.
     constexpr milliseconds answerTimeout { 1000 };
     constexpr unsigned accepted = 202;
-    constexpr unsigned holdsAlready = 200;
+    constexpr unsigned alreadyInStage = 200;
 }
 
-task_of<bool> stage_order_client::giveNow(std::string address, stage_order order, std::function<bool()> stillLeads) const
+task_of<bool> stage_order_client::sendOrder(std::string address, stage_order order, std::function<bool()> isLeader) const
 {
-    auto question = m_dialect.encodeQuestion();
-    auto readiness = co_await http_client::fetch(address, question, connectTimeout, answerTimeout);
-    auto known = readiness.succeeded() ? m_dialect.decodeReadiness(readiness.body) : std::nullopt;
-    if (!known || known->busy || !stillLeads()) {
-        logEvent("order_not_given", { { "endpoint", order.endpointId }, { "answered", known ? 1 : 0 }, { "busy", known && known->busy ? 1 : 0 } });
+    auto statusRequest = m_codec.encodeStatusRequest();
+    auto statusReply = co_await http_client::fetch(address, statusRequest, connectTimeout, answerTimeout);
+    auto status = statusReply.succeeded() ? m_codec.decodeStatus(statusReply.body) : std::nullopt;
+    if (!status || status->busy || !isLeader()) {
+        logEvent("order_not_given", { { "endpoint", order.endpointId }, { "answered", status ? 1 : 0 }, { "busy", status && status->busy ? 1 : 0 } });
         co_return false;
     }
-    order.expectedSequence = known->sequence;
-    auto call = m_dialect.encodeOrder(order);
+    order.expectedSequence = status->sequence;
+    auto call = m_codec.encodeOrder(order);
     auto answer = co_await http_client::fetch(address, call, connectTimeout, answerTimeout);
-    bool taken = answer.status == accepted || answer.status == holdsAlready;
-    // One that was sent and not answered may be carried out yet.
-    bool mayBeTaken = taken || answer.failed == call_failure::Broken || answer.failed == call_failure::Stalled;
-    logEvent("order_given", { { "endpoint", order.endpointId }, { "stage", static_cast<int>(order.stage) }, { "fence", order.fence }, { "expected", order.expectedSequence }, { "status", answer.status }, { "taken", taken ? 1 : 0 } });
-    co_return mayBeTaken;
+    bool isAccepted = answer.status == accepted || answer.status == alreadyInStage;
+    // An order that was sent but not answered may still be executed.
+    bool mayBeAccepted = isAccepted || answer.failed == call_failure::Broken || answer.failed == call_failure::Stalled;
+    logEvent("order_given", { { "endpoint", order.endpointId }, { "stage", static_cast<int>(order.stage) }, { "fence", order.fence }, { "expected", order.expectedSequence }, { "status", answer.status }, { "taken", isAccepted ? 1 : 0 } });
+    co_return mayBeAccepted;
 }
 
-void stage_order_client::give(const std::string& address, stage_order order, std::function<bool()> stillLeads, handler done)
+void stage_order_client::send(const std::string& address, stage_order order, std::function<bool()> isLeader, handler done)
 {
-    boost::asio::co_spawn(m_context, giveNow(address, std::move(order), std::move(stillLeads)), [done = std::move(done)](std::exception_ptr broken, bool taken) {
-        done(!broken && taken);
+    boost::asio::co_spawn(m_context, sendOrder(address, std::move(order), std::move(isLeader)), [done = std::move(done)](std::exception_ptr error, bool sent) {
+        done(!error && sent);
     });
 }
 
--- a/Source/coordination/stage_order_client.h
+++ b/Source/coordination/stage_order_client.h
@@ -5,54 +5,54 @@
 
 namespace pistachiolatch {
 
-/// An order to an endpoint to work in another stage.
+/// An order to an endpoint to change its serving stage.
 struct stage_order {
     std::string endpointId;
     wire::endpoint_stage stage = wire::STAGE_ANY;
-    /// Who gives it. A holder is one VM.
+    /// The VM that sends the order.
     std::string holder;
-    /// Grows with each leader, so that an endpoint refuses the order of one that was succeeded.
+    /// Fencing token; grows with each leader, so that endpoints reject orders of a former leader.
     std::uint64_t fence = 0;
-    /// The orders that the endpoint has accepted before. One that is carried out late, behind a newer one, is void by it.
+    /// How many orders the endpoint has accepted before. A delayed order that arrives after a newer one is rejected by it.
     std::uint64_t expectedSequence = 0;
 };
 
-/// What an endpoint says of itself to whoever is about to give it an order.
+/// An endpoint's status before an order is sent to it.
 struct stage_order_status {
     std::uint64_t sequence = 0;
-    /// Whether another order is being carried out.
+    /// Whether another order is in progress.
     bool busy = false;
 };
 
-/// How orders are written on the wire.
+/// Encodes and decodes the HTTP messages of orders.
 struct stage_order_codec {
-    std::function<http_call()> encodeQuestion;
-    std::function<std::optional<stage_order_status>(const std::string& body)> decodeReadiness;
+    std::function<http_call()> encodeStatusRequest;
+    std::function<std::optional<stage_order_status>(const std::string& body)> decodeStatus;
     std::function<http_call(const stage_order&)> encodeOrder;
 };
 
-/// Gives orders to endpoints and says what came of them. An order without an answer may have been accepted; the endpoint's
-/// own reports tell.
+/// Sends stage orders to endpoints. An order without an answer may have been accepted; the endpoint's reports show the
+/// result.
 /// Thread safety: used on the context's thread.
 class stage_order_client {
 public:
     using handler = std::function<void(bool accepted)>;
 
-    stage_order_client(boost::asio::io_context& context, stage_order_codec dialect)
+    stage_order_client(boost::asio::io_context& context, stage_order_codec codec)
         : m_context(context)
-        , m_dialect(std::move(dialect))
+        , m_codec(std::move(codec))
     {
     }
 
-    /// Asks the endpoint where it stands and gives it the order. The check comes right before the order leaves: whoever
-    /// lost the lead meanwhile must not give it.
-    void give(const std::string& address, stage_order order, std::function<bool()> stillLeads, handler done);
+    /// Reads the endpoint's status and sends it the order. Calls isLeader right before sending: a process that lost the
+    /// leadership meanwhile must not send orders.
+    void send(const std::string& address, stage_order order, std::function<bool()> isLeader, handler done);
 
 private:
-    task_of<bool> giveNow(std::string address, stage_order order, std::function<bool()> stillLeads) const;
+    task_of<bool> sendOrder(std::string address, stage_order order, std::function<bool()> isLeader) const;
 
     boost::asio::io_context& m_context;
-    stage_order_codec m_dialect;
+    stage_order_codec m_codec;
 };
 
 } // namespace pistachiolatch
--- a/Source/coordination/token_limiter.cpp
+++ b/Source/coordination/token_limiter.cpp
@@ -5,14 +5,14 @@
 namespace pistachiolatch {
 
 namespace {
-    /// How long the owner may be silent before the question counts as lost; a round trip takes a few milliseconds.
-    constexpr milliseconds ownerTimeout { 40 };
-    /// How long a silent owner is left alone. Callers who each waited for it would all be late; the link finds out
-    /// meanwhile whether it lives.
-    constexpr milliseconds silencePause { 200 };
-    /// Pause before the next question while no owner is known.
-    constexpr milliseconds retryPause { 60 };
-    /// What callers are told while the limits have no owner; an election takes about a second.
+    /// Time for a reply beyond the wait that was requested; a round trip takes a few milliseconds.
+    constexpr milliseconds ownerReplyTimeout { 40 };
+    /// An owner that did not reply is not asked for this long, since every caller that waited for it would be late. The
+    /// link probes it meanwhile.
+    constexpr milliseconds ownerSkipPeriod { 200 };
+    /// Delay before the next request while no owner is known.
+    constexpr milliseconds ownerRetryInterval { 60 };
+    /// Retry delay returned to callers while the limits have no owner; an election takes about a second.
     constexpr milliseconds retryAfterWithoutOwner { 600 };
 }
 
@@ -25,69 +25,69 @@
 {
 }
 
-void token_limiter::take(const organisation_config& organisation, std::uint64_t tokens, milliseconds patience, handler done)
+void token_limiter::acquire(const organisation_config& organisation, std::uint64_t tokens, milliseconds timeout, handler done)
 {
     if (organisation.rate == 0) {
         done({ true, false, milliseconds(0) });
         return;
     }
-    auto one = std::make_shared<question>(question { organisation.name, organisation.rate, tokens, m_clock.now() + patience, std::move(done) });
-    ask(std::move(one));
+    auto request = std::make_shared<token_request>(token_request { organisation.name, organisation.rate, tokens, m_clock.now() + timeout, std::move(done) });
+    requestTokens(std::move(request));
 }
 
-void token_limiter::ask(std::shared_ptr<question> one)
+void token_limiter::requestTokens(std::shared_ptr<token_request> request)
 {
-    if (m_link.leader().empty() || m_clock.now() < m_silentUntil) {
-        withoutOwner(one);
+    if (m_link.leader().empty() || m_clock.now() < m_skipOwnerUntil) {
+        handleOwnerUnavailable(request);
         return;
     }
-    auto left = std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(one->giveUpAt - m_clock.now()));
+    auto left = std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(request->deadline - m_clock.now()));
     wire::envelope message;
-    auto& request = *message.mutable_limit();
-    request.set_organisation(one->organisation);
-    request.set_need(one->tokens);
-    request.set_patience_ms(static_cast<std::uint32_t>(left.count()));
-    m_network.call(m_link.leader(), std::move(message), left + ownerTimeout, [this, one](const wire::envelope* reply) {
+    auto& limitRequest = *message.mutable_limit();
+    limitRequest.set_organisation(request->organisation);
+    limitRequest.set_need(request->tokens);
+    limitRequest.set_patience_ms(static_cast<std::uint32_t>(left.count()));
+    m_network.call(m_link.leader(), std::move(message), left + ownerReplyTimeout, [this, request](const wire::envelope* reply) {
         if (!reply) {
-            m_silentUntil = m_clock.now() + silencePause;
-            m_link.suspectLeader();
+            m_skipOwnerUntil = m_clock.now() + ownerSkipPeriod;
+            m_link.probeLeader();
         }
         if (!reply || !reply->has_limit_reply() || reply->limit_reply().wrong_owner()) {
-            withoutOwner(one);
+            handleOwnerUnavailable(request);
             return;
         }
         const auto& answer = reply->limit_reply();
-        one->done({ answer.granted() >= one->tokens, true, milliseconds(answer.retry_after_ms()) });
+        request->done({ answer.granted() >= request->tokens, true, milliseconds(answer.retry_after_ms()) });
     });
 }
 
-void token_limiter::withoutOwner(const std::shared_ptr<question>& one)
+void token_limiter::handleOwnerUnavailable(const std::shared_ptr<token_request>& request)
 {
-    if (takeAllowance(*one)) {
-        one->done({ true, false, milliseconds(0) });
+    if (takeFallbackTokens(*request)) {
+        request->done({ true, false, milliseconds(0) });
         return;
     }
-    if (m_clock.now() + retryPause >= one->giveUpAt) {
-        one->done({ false, false, retryAfterWithoutOwner });
+    if (m_clock.now() + ownerRetryInterval >= request->deadline) {
+        request->done({ false, false, retryAfterWithoutOwner });
         return;
     }
-    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, retryPause);
-    timer->async_wait([this, one, timer](boost::system::error_code) { ask(one); });
+    auto timer = std::make_shared<boost::asio::steady_timer>(m_context, ownerRetryInterval);
+    timer->async_wait([this, request, timer](boost::system::error_code) { requestTokens(request); });
 }
 
-bool token_limiter::takeAllowance(const question& one)
+bool token_limiter::takeFallbackTokens(const token_request& request)
 {
-    // All entries together stay within the slack and the rate: each has its share of both.
-    auto entries = std::max(1U, m_link.entries());
-    auto rate = std::max<std::uint64_t>(1, one.rate / entries);
-    auto burst = m_settings.slackTokens / entries + rate / 4;
-    auto found = m_allowances.find(one.organisation);
-    if (found == m_allowances.end()) {
-        found = m_allowances.emplace(one.organisation, token_bucket(rate, burst, m_clock.now())).first;
+    // Each entry has an equal share, so that all together stay within the fallback tokens and the rate.
+    auto entries = std::max(1U, m_link.entryCount());
+    auto rate = std::max<std::uint64_t>(1, request.rate / entries);
+    auto burst = m_settings.fallbackTokens / entries + rate / 4;
+    auto found = m_fallbackBuckets.find(request.organisation);
+    if (found == m_fallbackBuckets.end()) {
+        found = m_fallbackBuckets.emplace(request.organisation, token_bucket(rate, burst, m_clock.now())).first;
         found->second.giveBack(burst, m_clock.now());
     }
     found->second.configure(rate, burst, m_clock.now());
-    return found->second.take(one.tokens, m_clock.now());
+    return found->second.take(request.tokens, m_clock.now());
 }
 
 } // namespace pistachiolatch
--- a/Source/replication/document_replica.cpp
+++ b/Source/replication/document_replica.cpp
@@ -6,25 +6,24 @@
 
 namespace {
     constexpr milliseconds joinInterval { 300 };
-    /// How long a submission or a read may take at another replica. Callers try the next VM after a second.
+    /// Timeout of a submission or read that is forwarded to the leader. Callers try the next VM after a second.
     constexpr milliseconds forwardTimeout { 800 };
-    /// What a document may take on its way beyond that, at 10 Mbit/s. A large one that always took longer than the timeout
-    /// would never be accepted through a follower.
+    /// 10 Mbit/s. The timeout is extended by the transfer time, since otherwise a follower could never forward a large
+    /// document.
     constexpr std::size_t bytesPerMillisecond = 1250;
-    milliseconds transferAllowance(const wire::document& document)
+    milliseconds transferTime(const wire::document& document)
     {
         return milliseconds(document.body().size() / bytesPerMillisecond);
     }
-    /// The log is cut when it holds this much behind the snapshot: a small share of the disk, and little to read at a start.
-    constexpr std::uint64_t mostLogBytes = 4UL * 1024 * 1024;
-    constexpr std::uint64_t mostLogEntries = 400;
+    /// The log is compacted when it exceeds these limits beyond the snapshot, to bound disk usage and startup time.
+    constexpr std::uint64_t maxLogBytes = 4UL * 1024 * 1024;
+    constexpr std::uint64_t maxLogEntries = 400;
 }
 
-raft_settings document_replica::electionSettings()
+raft_settings document_replica::raftSettings()
 {
-    // An election takes about half a second, for which calls go without one view of the engines and limits. Replicas stand
-    // within a few milliseconds of each other and sync within as much, so that seven heartbeats fit into the shortest
-    // silence that ends a lead.
+    // An election takes about half a second, during which no leader plans calls or owns the limits. Network delay and disk
+    // syncs take a few milliseconds, so the shortest election timeout covers seven heartbeats.
     raft_settings settings;
     settings.heartbeat = milliseconds(40);
     settings.electionLeast = milliseconds(300);
@@ -33,19 +32,19 @@
 }
 
 document_replica::document_replica(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-    replica_settings home, replica_events events)
+    replica_settings settings, replica_events events)
     : m_network(network)
     , m_clock(clock)
     , m_metrics(counters)
     , m_events(std::move(events))
-    , m_home(std::move(home))
-    , m_unusableSince(clock.now())
+    , m_settings(std::move(settings))
+    , m_storageUnusableSince(clock.now())
     , m_storageTimer(context)
     , m_timer(context)
     , m_documentSince(clock.now())
 {
-    m_self.set_vm(vmOfAddress(m_home.facts.ownAddress));
-    m_self.set_address(m_home.facts.ownAddress);
+    m_self.set_vm(vmOfAddress(m_settings.bootstrap.ownAddress));
+    m_self.set_address(m_settings.bootstrap.ownAddress);
 }
 
 void document_replica::start()
@@ -56,7 +55,7 @@
 void document_replica::stop()
 {
     m_stopped = true;
-    m_usable = false;
+    m_storageUsable = false;
     m_timer.cancel();
     m_storageTimer.cancel();
 }
@@ -71,7 +70,7 @@
     };
     effects.apply = [this](const wire::log_entry& entry) { apply(entry); };
     effects.restore = [this](const wire::raft_snapshot& snapshot) {
-        load(snapshot);
+        loadSnapshot(snapshot);
         logEvent("snapshot_installed", { { "index", snapshot.index() }, { "version", m_document.version() } });
         m_events.documentChanged();
     };
@@ -86,16 +85,16 @@
     return effects;
 }
 
-void document_replica::load(const wire::raft_snapshot& snapshot)
+void document_replica::loadSnapshot(const wire::raft_snapshot& snapshot)
 {
     m_applied = snapshot.index();
     if (snapshot.index() == 0)
         return;
-    // The snapshot's checksum was right, so content that can't be decoded is a broken invariant.
+    // The snapshot's checksum was verified, so undecodable content is a broken invariant.
     wire::document document;
     if (!document.ParseFromString(snapshot.state()))
         std::abort();
-    // Files that are read again may hold less than what this process has shown.
+    // Files that are reopened may hold an older document than this process has already published.
     if (document.version() <= m_document.version())
         return;
     m_document = std::move(document);
@@ -113,22 +112,22 @@
     }
     if (entry.kind() == wire::ENTRY_COMMAND) {
         wire::command command;
-        // Only this program writes commands: one that can't be read is a broken invariant.
+        // Only this program writes commands, so an undecodable one is a broken invariant.
         if (!command.ParseFromString(entry.data()))
             std::abort();
-        take(std::move(*command.mutable_document()));
+        setDocument(std::move(*command.mutable_document()));
     }
     auto found = m_pending.find(entry.index());
     if (found == m_pending.end())
         return;
     auto pending = std::move(found->second);
     m_pending.erase(found);
-    // Another leader's entry stands where the document was put: it is lost, though a copy may come back from a replica.
+    // Another leader's entry was committed at this index. The document may still be committed from another replica's copy.
     bool lost = pending.term != entry.term();
     pending.handler({ lost, m_document.version() });
 }
 
-void document_replica::take(wire::document document)
+void document_replica::setDocument(wire::document document)
 {
     if (document.version() <= m_document.version())
         return;
@@ -143,24 +142,24 @@
     return std::chrono::duration_cast<milliseconds>(m_clock.now() - m_documentSince);
 }
 
-bool document_replica::leads() const
+bool document_replica::isLeader() const
 {
-    return m_usable && core().hasCommittedInTerm() && core().leaseValid(m_clock.now());
+    return m_storageUsable && core().hasCommittedInTerm() && core().leaseValid(m_clock.now());
 }
 
 std::string document_replica::leaderAddress() const
 {
-    if (m_usable) {
+    if (m_storageUsable) {
         const auto& leader = core().leader();
         return leader ? leader->address() : std::string();
     }
-    bool heardLately = m_clock.now() - m_heard.at < electionSettings().electionMost;
-    return heardLately ? m_heard.address : std::string();
+    bool isRecent = m_clock.now() - m_observedLeader.at < raftSettings().electionMost;
+    return isRecent ? m_observedLeader.address : std::string();
 }
 
 std::optional<milliseconds> document_replica::confirmedAge() const
 {
-    if (!m_usable)
+    if (!m_storageUsable)
         return std::nullopt;
     auto now = m_clock.now();
     auto at = core().confirmedAt(now);
@@ -193,12 +192,12 @@
 {
     switch (message.body_case()) {
     case wire::envelope::kRaft:
-        if (!m_usable) {
-            noteLeader(message.raft());
+        if (!m_storageUsable) {
+            recordLeader(message.raft());
             return true;
         }
         core().step(message.raft(), m_clock.now());
-        settle();
+        processEffects();
         return true;
     case wire::envelope::kJoin:
         addPeers({ message.join().replica().address() });
@@ -208,16 +207,16 @@
         propose(message.document_submit().document(), [from, message](submit_result outcome) {
             wire::envelope reply;
             reply.mutable_document_submit_reply()->set_unavailable(outcome.unavailable);
-            reply.mutable_document_submit_reply()->set_held_version(outcome.heldVersion);
+            reply.mutable_document_submit_reply()->set_held_version(outcome.currentVersion);
             peer_network::reply(from, message, std::move(reply));
         });
         return true;
     case wire::envelope::kDocumentRead:
-        readHere([from, message](const wire::document* newest) {
+        readLocally([from, message](const wire::document* newest) {
             wire::envelope reply;
             auto& answer = *reply.mutable_document_read_reply();
             answer.set_unavailable(!newest);
-            // A reader that holds the newest needs the word alone: a large document may take longer than the answer may.
+            // A reader that holds the newest document needs no copy; transferring a large one could exceed the timeout.
             answer.set_held_is_newest(newest && newest->version() == message.document_read().held_version());
             if (newest && !answer.held_is_newest())
                 *answer.mutable_document() = *newest;
@@ -231,32 +230,32 @@
 
 void document_replica::onJoin(const wire::replica_id& replica)
 {
-    // A replica that lost its disk knows only the addresses it was started with, and the leader may be elsewhere.
-    // Without the hand-over it would stay outside for good, and the next lost disk would take the quorum with it.
+    // A replica that lost its disk knows only its initial addresses, and the leader may be at none of them. If the request
+    // were not forwarded, it could never rejoin, and the next lost disk would cost the quorum.
     auto leader = leaderAddress();
-    bool leadsHere = m_usable && core().role() == raft_role::Leader;
-    if (!leadsHere && !leader.empty() && leader != m_self.address() && leader != replica.address()) {
+    bool isLeaderHere = m_storageUsable && core().role() == raft_role::Leader;
+    if (!isLeaderHere && !leader.empty() && leader != m_self.address() && leader != replica.address()) {
         wire::envelope message;
         *message.mutable_join()->mutable_replica() = replica;
         m_network.send(leader, std::move(message));
         return;
     }
-    if (!m_usable)
+    if (!m_storageUsable)
         return;
     core().join(replica, m_clock.now());
-    settle();
+    processEffects();
 }
 
 void document_replica::submit(wire::document document, submit_handler handler)
 {
     auto leader = leaderAddress();
-    if (leads() || leader.empty() || leader == m_self.address()) {
+    if (isLeader() || leader.empty() || leader == m_self.address()) {
         propose(document, std::move(handler));
         return;
     }
     wire::envelope message;
     *message.mutable_document_submit()->mutable_document() = std::move(document);
-    auto timeout = forwardTimeout + transferAllowance(message.document_submit().document());
+    auto timeout = forwardTimeout + transferTime(message.document_submit().document());
     m_network.call(leader, std::move(message), timeout, [handler = std::move(handler)](const wire::envelope* reply) {
         if (!reply || !reply->has_document_submit_reply())
             handler({ true, 0 });
@@ -267,11 +266,11 @@
 
 void document_replica::propose(const wire::document& document, submit_handler handler)
 {
-    if (!leads()) {
+    if (!isLeader()) {
         handler({ true, 0 });
         return;
     }
-    // A committed document of that version or a higher one stays: there is nothing to add to the log.
+    // A committed document of the same or a higher version is never replaced.
     if (document.version() <= m_document.version()) {
         handler({ false, m_document.version() });
         return;
@@ -284,15 +283,15 @@
         return;
     }
     m_pending[position->index] = { position->term, document.version(), std::move(handler) };
-    settle();
+    processEffects();
 }
 
 void document_replica::read(read_handler handler)
 {
     auto leader = leaderAddress();
-    bool leadsHere = m_usable && core().hasCommittedInTerm();
-    if (leadsHere || leader.empty() || leader == m_self.address()) {
-        readHere(std::move(handler));
+    bool isLeaderHere = m_storageUsable && core().hasCommittedInTerm();
+    if (isLeaderHere || leader.empty() || leader == m_self.address()) {
+        readLocally(std::move(handler));
         return;
     }
     wire::envelope message;
@@ -302,46 +301,46 @@
         if (!known)
             handler(nullptr);
         else if (reply->document_read_reply().held_is_newest())
-            // One that was committed meanwhile is newer still.
+            // A document committed meanwhile is newer, so it is valid too.
             handler(&m_document);
         else
             handler(&reply->document_read_reply().document());
     });
 }
 
-void document_replica::readHere(read_handler handler)
+void document_replica::readLocally(read_handler handler)
 {
-    if (!m_usable) {
+    if (!m_storageUsable) {
         handler(nullptr);
         return;
     }
     m_reads[++m_lastRead] = std::move(handler);
     core().read(m_lastRead);
-    settle();
+    processEffects();
 }
 
-void document_replica::settle()
+void document_replica::processEffects()
 {
-    if (!m_usable)
+    if (!m_storageUsable)
         return;
     auto drained = m_host->drain();
     if (!drained) {
         onStorageFailure(drained.error().message);
         return;
     }
-    followLeadership();
-    if (compactIfLong())
-        armTimer();
+    updateLeadership();
+    if (compactIfNeeded())
+        scheduleTimer();
 }
 
-void document_replica::armTimer()
+void document_replica::scheduleTimer()
 {
-    auto due = std::min(core().nextDue(), core().wantsToJoin() ? m_nextJoin : time_point::max());
+    auto due = std::min(core().nextDue(), core().wantsToJoin() ? m_nextJoinAt : time_point::max());
     auto now = m_clock.now();
-    // A timer that is armed for an earlier time looks again then; arming it anew at each message would cost more.
-    if (m_armedFor != time_point {} && m_armedFor <= due)
+    // A timer that is due earlier reschedules itself then; restarting it for each message would cost more.
+    if (m_timerDue != time_point {} && m_timerDue <= due)
         return;
-    m_armedFor = due;
+    m_timerDue = due;
     m_timer.expires_after(std::max(due - now, duration(milliseconds(1))));
     m_timer.async_wait([this](boost::system::error_code error) {
         if (!error)
@@ -351,19 +350,19 @@
 
 void document_replica::onTimer()
 {
-    if (!m_usable)
+    if (!m_storageUsable)
         return;
-    m_armedFor = {};
+    m_timerDue = {};
     core().tick(m_clock.now());
     sendJoin();
-    settle();
+    processEffects();
 }
 
 void document_replica::sendJoin()
 {
-    if (!core().wantsToJoin() || m_clock.now() < m_nextJoin)
+    if (!core().wantsToJoin() || m_clock.now() < m_nextJoinAt)
         return;
-    m_nextJoin = m_clock.now() + joinInterval;
+    m_nextJoinAt = m_clock.now() + joinInterval;
     for (const auto& address : peers()) {
         wire::envelope message;
         *message.mutable_join()->mutable_replica() = m_self;
@@ -371,18 +370,18 @@
     }
 }
 
-void document_replica::followLeadership()
+void document_replica::updateLeadership()
 {
-    // This replica leads once it knows all that was ever acknowledged, not as soon as it is elected.
-    bool leads = m_usable && core().hasCommittedInTerm();
-    if (leads == m_leads)
+    // An elected replica acts as leader only after a commit in its term, when it has all acknowledged documents.
+    bool isLeader = m_storageUsable && core().hasCommittedInTerm();
+    if (isLeader == m_isLeader)
         return;
-    m_leads = leads;
-    m_metrics.count(leads ? "leadership_gained" : "leadership_lost");
-    logEvent(leads ? "leadership_gained" : "leadership_lost", { { "term", term() }, { "version", m_document.version() } });
-    if (!leads)
+    m_isLeader = isLeader;
+    m_metrics.count(isLeader ? "leadership_gained" : "leadership_lost");
+    logEvent(isLeader ? "leadership_gained" : "leadership_lost", { { "term", term() }, { "version", m_document.version() } });
+    if (!isLeader)
         failPending();
-    m_events.leadershipChanged(leads);
+    m_events.leadershipChanged(isLeader);
 }
 
 void document_replica::failPending()
@@ -395,16 +394,16 @@
         handler(nullptr);
 }
 
-bool document_replica::compactIfLong()
+bool document_replica::compactIfNeeded()
 {
-    bool tooLong = m_bytesSinceSnapshot > mostLogBytes || m_applied > core().log().baseIndex() + mostLogEntries;
+    bool tooLong = m_bytesSinceSnapshot > maxLogBytes || m_applied > core().log().baseIndex() + maxLogEntries;
     if (!tooLong)
         return true;
     m_bytesSinceSnapshot = 0;
     auto compacted = m_host->compact(m_applied, m_document.SerializeAsString());
     if (!compacted)
         onStorageFailure(compacted.error().message);
-    return m_usable;
+    return m_storageUsable;
 }
 
 } // namespace pistachiolatch
--- a/Source/replication/document_replica.h
+++ b/Source/replication/document_replica.h
@@ -9,104 +9,103 @@
 
 namespace pistachiolatch {
 
-/// What became of a submitted document.
 struct submit_result {
-    /// Whether nothing is known: no leader, no quorum, or the leader was lost meanwhile. The document may yet be accepted.
+    /// Whether the result is unknown: no leader, no quorum, or the leader was lost meanwhile. The document may still be
+    /// accepted later.
     bool unavailable = false;
-    /// The version in force afterwards; at least the submitted one.
-    std::uint64_t heldVersion = 0;
+    /// The committed version afterwards; at least the submitted one.
+    std::uint64_t currentVersion = 0;
 };
 
-/// What the process does with a replica's events.
+/// Callbacks of a replica.
 struct replica_events {
     /// A newer document was committed.
     std::function<void()> documentChanged;
-    /// This replica became the leader, or stopped being it.
-    std::function<void(bool leads)> leadershipChanged;
+    /// This replica gained or lost the leadership.
+    std::function<void(bool isLeader)> leadershipChanged;
 };
 
-/// Where a replica keeps its files, and how its log begins.
 struct replica_settings {
     std::string folder;
-    founding_facts facts;
+    bootstrap_settings bootstrap;
 };
 
-/// One replica of the log that holds the configuration document. Of two documents the one with the higher version
-/// wins; an equal or lower version changes nothing, so that a document sent again is acknowledged again.
-/// A replica whose files can't be read or written takes no part in the log, since it couldn't keep what it acknowledges. It
-/// goes on passing questions to the leader, and reads its files anew until they can be used.
-/// Thread safety: everything is called on the thread that runs the context.
+/// A replica of the Raft log that holds the configuration document. The document with the highest version wins; submitting
+/// an equal or lower version changes nothing and is acknowledged, so that a submission can be retried.
+/// A replica whose files can't be read or written does not participate in the log, since it couldn't persist what it
+/// acknowledges. It still forwards requests to the leader, and retries opening its files.
+/// Thread safety: all calls on the thread that runs the context.
 class document_replica {
 public:
     using submit_handler = std::function<void(submit_result)>;
-    /// Gets null when the newest document can't be told for certain.
+    /// Receives null if the newest document could not be determined.
     using read_handler = std::function<void(const wire::document* newest)>;
 
     /// Precondition: the references outlive the replica.
     document_replica(boost::asio::io_context& context, peer_network& network, const clock_source& clock, metrics& counters,
-        replica_settings home, replica_events events);
+        replica_settings settings, replica_events events);
 
-    /// Opens the files and takes part, at once or as soon as they can be used.
+    /// Opens the files, with retries, and then participates in the log.
     void start();
     void stop();
-    /// Takes in what a peer sent, if it is for the log. Returns whether it was.
+    /// Handles a message of a peer. Returns false if it is none of this class.
     bool onMessage(const wire::envelope& message, const peer_network::peer& from);
-    /// Adds addresses at which replicas may be found.
+    /// Adds addresses of other replicas.
     void addPeers(const std::vector<std::string>& addresses);
 
-    /// Submits a document that was checked; goes through the leader, wherever it is.
+    /// Submits a validated document, through the leader.
     void submit(wire::document document, submit_handler handler);
-    /// Reads the newest document through a quorum; goes through the leader, wherever it is.
+    /// Reads the newest document with a quorum, through the leader.
     void read(read_handler handler);
 
-    /// The newest committed document that this replica knows.
+    /// The newest document that this replica knows to be committed.
     const wire::document& document() const { return m_document; }
-    /// How long this replica has known that document to be committed.
+    /// Time since this replica learned that the document is committed.
     milliseconds documentAge() const;
-    /// Whether this replica leads and no other can.
-    bool leads() const;
-    /// The address of the leader, as far as known.
+    /// Whether this replica is the leader and holds a valid lease, so that there is no other.
+    bool isLeader() const;
+    /// The address of the leader; empty if unknown.
     std::string leaderAddress() const;
-    /// How long ago this leader was last known to be the only one; nothing when it can't tell.
+    /// Time since a quorum last confirmed this leader; nothing if unknown.
     std::optional<milliseconds> confirmedAge() const;
-    /// The other replicas that are known, voters or not.
+    /// Addresses of all other known replicas, voters or not.
     std::vector<std::string> peers() const;
-    /// Whether its files can be used, so that it takes part in the log.
-    bool hasStorage() const { return m_usable; }
-    /// The term of its log; 0 where its files could not be read.
+    /// Whether the files are usable, so that the replica participates in the log.
+    bool hasStorage() const { return m_storageUsable; }
+    /// The term of the log; 0 if the files could not be read yet.
     std::uint64_t term() const { return m_host ? core().term() : 0; }
-    bool isVoter() const { return m_usable && core().isVoter(); }
-    /// Voters of the log, as far as this replica knows; none while its files can't be used.
-    std::size_t voters() const { return m_usable ? static_cast<std::size_t>(core().members().voters_size()) : 0; }
+    bool isVoter() const { return m_storageUsable && core().isVoter(); }
+    /// Number of voters that this replica knows; 0 while its files are unusable.
+    std::size_t voters() const { return m_storageUsable ? static_cast<std::size_t>(core().members().voters_size()) : 0; }
 
 private:
-    /// Precondition: the files can be used.
+    /// Precondition: the files are usable.
     raft_core& core() { return m_host->core(); }
     const raft_core& core() const { return m_host->core(); }
-    static raft_settings electionSettings();
+    static raft_settings raftSettings();
     raft_effects effects();
     void openStorage();
     result<void> openFiles();
-    void retryStorage();
-    void noteLeader(const wire::raft_message& message);
+    void scheduleStorageRetry();
+    void recordLeader(const wire::raft_message& message);
     void onJoin(const wire::replica_id& replica);
-    void settle();
-    void armTimer();
+    void processEffects();
+    void scheduleTimer();
     void onTimer();
     void sendJoin();
     void apply(const wire::log_entry& entry);
-    void load(const wire::raft_snapshot& snapshot);
-    void take(wire::document document);
-    /// Returns whether the files can be used still.
-    bool compactIfLong();
-    void followLeadership();
+    void loadSnapshot(const wire::raft_snapshot& snapshot);
+    void setDocument(wire::document document);
+    /// Returns whether the files are still usable.
+    bool compactIfNeeded();
+    void updateLeadership();
     void failPending();
     void propose(const wire::document& document, submit_handler handler);
-    void readHere(read_handler handler);
+    void readLocally(read_handler handler);
     void onStorageFailure(const std::string& why);
 
-    /// The leader as a replica without storage knows it, from what the leader goes on sending.
-    struct heard_leader {
+    /// The leader as observed from its messages by a replica without usable files.
+    struct observed_leader {
         std::string address;
         std::uint64_t term = 0;
         time_point at {};
@@ -121,27 +120,27 @@
     const clock_source& m_clock;
     metrics& m_metrics;
     replica_events m_events;
-    replica_settings m_home;
+    replica_settings m_settings;
     wire::replica_id m_self;
-    /// Present from the first time that the files could be read.
+    /// Set once the files were read for the first time.
     std::optional<raft_host<file_log_store>> m_host;
-    bool m_usable = false;
+    bool m_storageUsable = false;
     bool m_stopped = false;
     /// Whether a write or sync failed since the files were last opened.
-    bool m_unsynced = false;
-    time_point m_unusableSince;
-    int m_openTries = 0;
-    heard_leader m_heard;
+    bool m_reopenAfterFailure = false;
+    time_point m_storageUnusableSince;
+    int m_openAttempts = 0;
+    observed_leader m_observedLeader;
     boost::asio::steady_timer m_storageTimer;
     boost::asio::steady_timer m_timer;
-    time_point m_armedFor {};
-    time_point m_nextJoin {};
+    time_point m_timerDue {};
+    time_point m_nextJoinAt {};
     std::set<std::string> m_peers;
     wire::document m_document;
     time_point m_documentSince;
     std::uint64_t m_applied = 0;
     std::uint64_t m_bytesSinceSnapshot = 0;
-    bool m_leads = false;
+    bool m_isLeader = false;
     std::map<std::uint64_t, pending_submit> m_pending;
     std::map<std::uint64_t, read_handler> m_reads;
     std::uint64_t m_lastRead = 0;
--- a/Source/replication/replica_identity.h
+++ b/Source/replication/replica_identity.h
@@ -5,34 +5,33 @@
 
 namespace pistachiolatch {
 
-/// How a replica of a fleet that founds itself begins.
+/// The state with which a replica starts.
 struct replica_start {
     wire::replica_id self;
     raft_restored restored;
-    /// The voters to found a new log with; empty when this replica joins one or goes on with its own.
-    wire::replica_set founders;
+    /// The voters to bootstrap a new log with; empty if this replica joins a log or has one.
+    wire::replica_set initialVoters;
     std::uint64_t tornBytes = 0;
 };
 
-/// What is known of the fleet at the start of a process.
-struct founding_facts {
+struct bootstrap_settings {
     /// This replica's peer address.
     std::string ownAddress;
-    /// The peer addresses of the replicas that found the log.
-    std::vector<std::string> founders;
-    /// Whether the operators say that the fleet starts for the first time. With a disk that was lost later it is false.
+    /// Peer addresses of the replicas that bootstrap the log.
+    std::vector<std::string> initialVoters;
+    /// Whether the operators state that the fleet starts for the first time. Must be false after a disk was lost.
     bool firstStart = false;
 };
 
-/// The name of a replica's VM: the host part of its address.
+/// Returns the VM's name, the host part of a peer address.
 std::string vmOfAddress(const std::string& address);
 
-/// Opens the store and decides how the replica begins. The founders' identities follow from their addresses alone, so
-/// that each derives the same first entry without a word from the others; a process killed in its first moments, whose
-/// disk holds that identity and nothing else, may found again, since it has promised nothing yet. A replica with a log
-/// never founds, nor does one with another identity: a lost disk would otherwise begin a second log.
+/// Opens the store and decides whether the replica bootstraps a new log. The initial voters' identities follow from their
+/// addresses alone, so that all of them create the same first entry without communicating. A process that is killed early,
+/// with only that identity on disk, may bootstrap again, since it has not voted yet. A replica with a log or another identity
+/// never bootstraps: after a lost disk that would create a second log.
 /// afterFailure: whether a write or sync failed since the folder was last opened.
 /// Errors: those of the store.
-result<replica_start> openReplica(file_log_store& store, const std::string& folder, const founding_facts& facts, bool afterFailure = false);
+result<replica_start> openReplica(file_log_store& store, const std::string& folder, const bootstrap_settings& bootstrap, bool afterFailure = false);
 
 } // namespace pistachiolatch
--- a/Source/replication/replication.h
+++ b/Source/replication/replication.h
@@ -1,5 +1,5 @@
 #pragma once
-/// The replicated configuration document.
+/// Replication of the configuration document.
 /// This is the library's one public header.
 #include "replication/document_replica.h"
 #include "replication/replica_identity.h"
--- a/Tests/Coordination/DocumentFetchTest.cpp
+++ b/Tests/Coordination/DocumentFetchTest.cpp
@@ -1,10 +1,9 @@
-// What callers see: an entry serves nobody, or serves by a configuration that was withdrawn or never was.
-// What happens: pieces of a configuration are lost, come twice, late, out of order, damaged, or from an older leader;
-// changes come faster than a transfer takes; the leader is replaced in the middle.
-// Why it must not: nothing half-applied may serve, and every transfer must come to its end.
+// Guards against entries that never receive a configuration, or apply an outdated or corrupt one. Pieces may be lost,
+// duplicated, delayed, reordered, corrupt or from an older leader; changes may come faster than a transfer takes; the leader
+// may change during a transfer.
 #include "coordination/configuration_lease.h"
-#include "coordination/document_fetch.h"
 #include "coordination/document_cache.h"
+#include "coordination/document_fetch.h"
 #include "coordination/transfer_pacer.h"
 #include <catch2/catch.hpp>
 #include <random>
@@ -24,17 +23,16 @@
     return document;
 }
 
-wire::document changed(wire::document document, std::uint64_t version)
+wire::document changedDocument(wire::document document, std::uint64_t version)
 {
     document.set_version(version);
     document.mutable_body()->replace(100, 7, fmt::format("{:07}", version));
     return document;
 }
 
-/// What a leader with that shelf answers.
-std::optional<wire::document_piece> answer(document_shelf& shelf, const wire::document_ask& ask)
+std::optional<wire::document_piece> reply(document_cache& cache, const wire::document_ask& request)
 {
-    return shelf.pieceFor(ask, pieceBytes);
+    return cache.findPiece(request, pieceBytes);
 }
 
 time_point at(int ms)
@@ -43,190 +41,190 @@
 }
 }
 
-TEST_CASE("A transfer takes up where it was when every second reply is lost")
+TEST_CASE("A transfer resumes when every second reply is lost")
 {
-    document_shelf shelf;
-    shelf.put(documentOf(7, 1));
+    document_cache cache;
+    cache.store(documentOf(7, 1));
     document_fetch fetch;
     fetch.announce(7);
     int now = 0;
-    int asked = 0;
-    for (; fetch.wanted() && now < 60000; now += 10) {
-        auto ask = fetch.due(at(now));
-        if (!ask)
+    int requests = 0;
+    for (; fetch.isBehind() && now < 60000; now += 10) {
+        auto request = fetch.nextRequest(at(now));
+        if (!request)
             continue;
-        auto piece = answer(shelf, *ask);
+        auto piece = reply(cache, *request);
         REQUIRE(piece);
-        if (++asked % 2 == 0)
-            fetch.take(*piece, at(now));
+        if (++requests % 2 == 0)
+            fetch.handlePiece(*piece, at(now));
     }
-    CHECK(fetch.held().body() == documentOf(7, 1).body());
-    CHECK(asked <= 2 * 21);
+    CHECK(fetch.document().body() == documentOf(7, 1).body());
+    CHECK(requests <= 2 * 21);
 }
 
-TEST_CASE("A transfer goes on at another leader")
+TEST_CASE("A transfer continues at another leader")
 {
-    document_shelf first;
-    document_shelf second;
-    first.put(documentOf(7, 1));
-    second.put(documentOf(7, 1));
+    document_cache first;
+    document_cache second;
+    first.store(documentOf(7, 1));
+    second.store(documentOf(7, 1));
     document_fetch fetch;
     fetch.announce(7);
     for (int i = 0; i < 10; ++i)
-        CHECK(fetch.take(*answer(first, *fetch.due(at(i))), at(i)) == piece_outcome::Taken);
-    fetch.leaderChanged();
-    auto ask = fetch.due(at(11));
-    REQUIRE(ask);
-    CHECK(ask->offset() == 10 * pieceBytes);
-    CHECK(fetch.take(*answer(second, *ask), at(11)) == piece_outcome::Taken);
-    for (int i = 12; fetch.wanted() && i < 100; ++i)
-        fetch.take(*answer(second, *fetch.due(at(i))), at(i));
-    CHECK(fetch.held().body() == documentOf(7, 1).body());
+        CHECK(fetch.handlePiece(*reply(first, *fetch.nextRequest(at(i))), at(i)) == piece_outcome::Accepted);
+    fetch.onLeaderChanged();
+    auto request = fetch.nextRequest(at(11));
+    REQUIRE(request);
+    CHECK(request->offset() == 10 * pieceBytes);
+    CHECK(fetch.handlePiece(*reply(second, *request), at(11)) == piece_outcome::Accepted);
+    for (int i = 12; fetch.isBehind() && i < 100; ++i)
+        fetch.handlePiece(*reply(second, *fetch.nextRequest(at(i))), at(i));
+    CHECK(fetch.document().body() == documentOf(7, 1).body());
 }
 
 TEST_CASE("Changes that come faster than a transfer takes don't starve it")
 {
-    document_shelf shelf;
-    shelf.put(documentOf(1, 1));
+    document_cache cache;
+    cache.store(documentOf(1, 1));
     document_fetch fetch;
     fetch.announce(1);
     std::uint64_t version = 1;
     std::uint64_t held = 0;
     for (int i = 0; i < 200; ++i) {
-        // A piece takes as long as three changes.
+        // Three changes come while one piece is transferred.
         for (int change = 0; change < 3; ++change) {
             ++version;
-            shelf.put(changed(documentOf(version, 1), version));
+            cache.store(changedDocument(documentOf(version, 1), version));
             fetch.announce(version);
         }
-        if (auto ask = fetch.due(at(i)))
-            fetch.take(*answer(shelf, *ask), at(i));
-        CHECK(fetch.held().version() >= held);
-        held = fetch.held().version();
+        if (auto request = fetch.nextRequest(at(i)))
+            fetch.handlePiece(*reply(cache, *request), at(i));
+        CHECK(fetch.document().version() >= held);
+        held = fetch.document().version();
     }
     CHECK(held > version - 100);
 }
 
-TEST_CASE("Pieces that are damaged, late, doubled or of an older version change nothing")
+TEST_CASE("Corrupt, delayed, duplicate and outdated pieces are rejected")
 {
-    document_shelf shelf;
-    shelf.put(documentOf(7, 1));
+    document_cache cache;
+    cache.store(documentOf(7, 1));
     document_fetch fetch;
     fetch.announce(7);
-    auto first = *answer(shelf, *fetch.due(at(0)));
-    CHECK(fetch.take(first, at(0)) == piece_outcome::Taken);
-    CHECK(fetch.take(first, at(1)) == piece_outcome::Unwanted);
+    auto first = *reply(cache, *fetch.nextRequest(at(0)));
+    CHECK(fetch.handlePiece(first, at(0)) == piece_outcome::Accepted);
+    CHECK(fetch.handlePiece(first, at(1)) == piece_outcome::Ignored);
     auto later = first;
     later.set_offset(5 * pieceBytes);
-    CHECK(fetch.take(later, at(1)) == piece_outcome::Unwanted);
-    document_shelf older;
-    older.put(documentOf(6, 2));
-    wire::document_ask nothing;
-    CHECK(fetch.take(*answer(older, nothing), at(1)) == piece_outcome::Unwanted);
+    CHECK(fetch.handlePiece(later, at(1)) == piece_outcome::Ignored);
+    document_cache older;
+    older.store(documentOf(6, 2));
+    wire::document_ask firstRequest;
+    CHECK(fetch.handlePiece(*reply(older, firstRequest), at(1)) == piece_outcome::Ignored);
     auto tooLong = first;
     tooLong.set_offset(pieceBytes);
     tooLong.set_bytes(std::string(100 * pieceBytes, 'x'));
-    CHECK(fetch.take(tooLong, at(1)) == piece_outcome::Unwanted);
+    CHECK(fetch.handlePiece(tooLong, at(1)) == piece_outcome::Ignored);
     auto huge = first;
     huge.set_version(9);
     huge.set_packed_bytes(4'000'000'000U);
-    CHECK(fetch.take(huge, at(1)) == piece_outcome::Unwanted);
+    CHECK(fetch.handlePiece(huge, at(1)) == piece_outcome::Ignored);
 
-    bool damagedOne = false;
-    bool damaged = false;
-    for (int i = 2; fetch.wanted() && i < 20000; ++i) {
-        auto ask = fetch.due(at(i));
-        if (!ask)
+    bool corruptedPiece = false;
+    bool corrupted = false;
+    for (int i = 2; fetch.isBehind() && i < 20000; ++i) {
+        auto request = fetch.nextRequest(at(i));
+        if (!request)
             continue;
-        auto piece = *answer(shelf, *ask);
-        if (!damagedOne && piece.offset() > 0) {
-            damagedOne = true;
+        auto piece = *reply(cache, *request);
+        if (!corruptedPiece && piece.offset() > 0) {
+            corruptedPiece = true;
             (*piece.mutable_bytes())[10] ^= 1;
         }
-        auto outcome = fetch.take(piece, at(i));
-        if (outcome == piece_outcome::Damaged) {
-            damaged = true;
-            CHECK(fetch.held().version() == 0);
+        auto outcome = fetch.handlePiece(piece, at(i));
+        if (outcome == piece_outcome::Corrupted) {
+            corrupted = true;
+            CHECK(fetch.document().version() == 0);
         }
     }
-    CHECK(damaged);
-    CHECK(fetch.held().body() == documentOf(7, 1).body());
+    CHECK(corrupted);
+    CHECK(fetch.document().body() == documentOf(7, 1).body());
 }
 
-TEST_CASE("A change that was packed against another base is found damaged, and the whole is fetched")
+TEST_CASE("A delta against another base is detected as corrupt and the full document is fetched")
 {
-    document_shelf shelf;
-    shelf.put(documentOf(7, 1));
-    shelf.put(changed(documentOf(8, 1), 8));
+    document_cache cache;
+    cache.store(documentOf(7, 1));
+    cache.store(changedDocument(documentOf(8, 1), 8));
     document_fetch fetch;
-    // The same version with another text, as after damage here.
-    fetch.takeWhole(documentOf(7, 3));
+    // The same version with another content, as after local corruption.
+    fetch.replaceDocument(documentOf(7, 3));
     fetch.announce(8);
-    bool damaged = false;
-    for (int i = 0; fetch.wanted() && i < 20000; ++i) {
-        auto ask = fetch.due(at(i));
-        if (!ask)
+    bool corrupted = false;
+    for (int i = 0; fetch.isBehind() && i < 20000; ++i) {
+        auto request = fetch.nextRequest(at(i));
+        if (!request)
             continue;
-        damaged |= fetch.take(*answer(shelf, *ask), at(i)) == piece_outcome::Damaged;
+        corrupted |= fetch.handlePiece(*reply(cache, *request), at(i)) == piece_outcome::Corrupted;
     }
-    CHECK(damaged);
-    CHECK(fetch.held().body() == changed(documentOf(8, 1), 8).body());
+    CHECK(corrupted);
+    CHECK(fetch.document().body() == changedDocument(documentOf(8, 1), 8).body());
 }
 
-TEST_CASE("A small change travels as what changed, from one copy for all entries")
+TEST_CASE("A small change is transferred as a delta that all entries share")
 {
-    document_shelf shelf;
-    shelf.put(documentOf(7, 1, 1'000'000));
-    shelf.put(changed(documentOf(8, 1, 1'000'000), 8));
-    auto packed = shelf.newestFor(7);
-    REQUIRE(packed);
-    CHECK(packed->baseVersion == 7);
-    CHECK(packed->bytes.size() < 1000);
+    document_cache cache;
+    cache.store(documentOf(7, 1, 1'000'000));
+    cache.store(changedDocument(documentOf(8, 1, 1'000'000), 8));
+    auto compressed = cache.compressedFor(7);
+    REQUIRE(compressed);
+    CHECK(compressed->baseVersion == 7);
+    CHECK(compressed->bytes.size() < 1000);
     for (int i = 0; i < 300; ++i)
-        CHECK(shelf.newestFor(7) == packed);
-    auto whole = shelf.newestFor(0);
+        CHECK(cache.compressedFor(7) == compressed);
+    auto whole = cache.compressedFor(0);
     REQUIRE(whole);
     CHECK(whole->baseVersion == 0);
-    CHECK(shelf.newestFor(8) == nullptr);
+    CHECK(cache.compressedFor(8) == nullptr);
 }
 
-TEST_CASE("The memory of the shelf is bounded while large documents change")
+TEST_CASE("The memory of the document cache is bounded while large documents change")
 {
-    document_shelf shelf;
+    document_cache cache;
     for (std::uint64_t version = 1; version <= 60; ++version) {
-        shelf.put(documentOf(version, version, 1'000'000));
-        shelf.newestFor(0);
-        shelf.newestFor(version - 1);
+        cache.store(documentOf(version, version, 1'000'000));
+        cache.compressedFor(0);
+        cache.compressedFor(version - 1);
     }
-    // Half of a control VM's 256 MB, with most of it left for all else.
-    CHECK(shelf.bytes() < 32U * 1024 * 1024);
+    // A control VM may use half of its 256 MB; most of that must remain for everything else.
+    CHECK(cache.memoryBytes() < 32U * 1024 * 1024);
 }
 
-TEST_CASE("A lease counts only for a configuration that is at least as new as the one that was vouched for")
+TEST_CASE("A confirmation extends the lease only of an equal or newer configuration")
 {
     configuration_lease lease;
-    lease.vouch(5, at(1000));
-    CHECK(lease.until() == time_point {});
-    lease.hold(4);
-    CHECK(lease.until() == time_point {});
-    lease.hold(5);
-    CHECK(lease.until() == at(1000));
-    lease.vouch(6, at(2000));
-    lease.vouch(7, at(3000));
-    CHECK(lease.until() == at(1000));
-    lease.hold(6);
-    CHECK(lease.until() == at(2000));
-    lease.vouch(6, at(1500));
-    CHECK(lease.until() == at(2000));
-    lease.hold(9);
-    CHECK(lease.until() == at(3000));
+    lease.confirm(5, at(1000));
+    CHECK(lease.expiry() == time_point {});
+    lease.setApplied(4);
+    CHECK(lease.expiry() == time_point {});
+    lease.setApplied(5);
+    CHECK(lease.expiry() == at(1000));
+    lease.confirm(6, at(2000));
+    lease.confirm(7, at(3000));
+    CHECK(lease.expiry() == at(1000));
+    lease.setApplied(6);
+    CHECK(lease.expiry() == at(2000));
+    lease.confirm(6, at(1500));
+    CHECK(lease.expiry() == at(2000));
+    lease.setApplied(9);
+    CHECK(lease.expiry() == at(3000));
 }
 
-TEST_CASE("Pieces under way are bounded by what the leader's link carries without a queue")
+TEST_CASE("Pieces in flight are bounded by what the leader's link carries without queueing")
 {
-    // Each piece takes 13 ms of a link of 10 Mbit/s that all readers share.
+    // Each piece takes 13 ms on a link of 10 Mbit/s that all readers share.
     transfer_pacer<int> pacer;
-    constexpr milliseconds perPiece { 13 };
+    constexpr milliseconds pieceDuration { 13 };
     constexpr int readers = 60;
     auto now = at(0);
     auto busyUntil = now;
@@ -234,10 +232,10 @@
     milliseconds longestQueue { 0 };
     int sent = 0;
     for (int i = 0; i < readers; ++i)
-        pacer.ask(i, now);
+        pacer.request(i, now);
     for (int step = 0; step < 20000; ++step) {
         while (auto reader = pacer.next(now)) {
-            busyUntil = std::max(busyUntil, now) + perPiece;
+            busyUntil = std::max(busyUntil, now) + pieceDuration;
             arrives[*reader] = busyUntil;
             ++sent;
             if (sent > 200)
@@ -249,23 +247,23 @@
                 ++it;
                 continue;
             }
-            pacer.ask(it->first, now);
+            pacer.request(it->first, now);
             it = arrives.erase(it);
         }
     }
-    // The link is kept busy, and a heartbeat behind the pieces comes before followers give up on the leader.
+    // The link stays busy, and a heartbeat behind the pieces arrives before the election timeout of followers.
     CHECK(sent > 1300);
     CHECK(longestQueue < milliseconds(200));
 }
 
-TEST_CASE("Readers that never answer don't hold the others up")
+TEST_CASE("Readers that never reply don't block the others")
 {
     transfer_pacer<int> pacer;
     for (int i = 0; i < 100; ++i)
-        pacer.ask(i, at(0));
-    std::size_t dead = 0;
+        pacer.request(i, at(0));
+    std::size_t sentPieces = 0;
     while (pacer.next(at(1)))
-        ++dead;
-    CHECK(dead < 100);
+        ++sentPieces;
+    CHECK(sentPieces < 100);
     CHECK(pacer.next(at(1500)));
 }
--- a/Tests/Coordination/EntryLoadsTest.cpp
+++ b/Tests/Coordination/EntryLoadsTest.cpp
@@ -30,7 +30,7 @@
 }
 }
 
-TEST_CASE("An entry is told what all others have at an endpoint")
+TEST_CASE("An entry receives the load of all other entries by endpoint")
 {
     entry_loads all;
     all.replace("a", loadsOf({ { "d1", 2 }, { "d2", 1 } }));
@@ -38,34 +38,33 @@
     CHECK(othersOf(all, "a") == std::map<std::string, std::uint32_t> { { "d1", 3 } });
     CHECK(othersOf(all, "b") == std::map<std::string, std::uint32_t> { { "d1", 2 }, { "d2", 1 } });
     CHECK(othersOf(all, "new") == std::map<std::string, std::uint32_t> { { "d1", 5 }, { "d2", 1 } });
-    all.forget("a");
+    all.remove("a");
     CHECK(othersOf(all, "new") == std::map<std::string, std::uint32_t> { { "d1", 3 } });
     all.clear();
     CHECK(othersOf(all, "new").empty());
 }
 
-// Callers see: calls avoid an endpoint that is free, or crowd at one that is full.
-// Order: entries report, restart and leave in any order; the sums drift away from what the reports add up to.
-// Why: what an entry reported last is taken out of the sums before its next report goes in.
-TEST_CASE("Sums of loads stay what the last reports add up to")
+// Guards against sums that drift when entries report, restart and leave in any order: calls would avoid idle endpoints or
+// overload busy ones.
+TEST_CASE("Sums of loads always match the last reports")
 {
     std::mt19937 random(GENERATE(1U, 2U, 3U));
     entry_loads all;
-    std::map<std::string, std::map<std::string, std::uint32_t>> last;
+    std::map<std::string, std::map<std::string, std::uint32_t>> reports;
     for (int step = 0; step < 2000; ++step) {
         auto entry = "entry-" + std::to_string(random() % 6);
         if (random() % 10 == 0) {
-            all.forget(entry);
-            last.erase(entry);
+            all.remove(entry);
+            reports.erase(entry);
         } else {
             std::map<std::string, std::uint32_t> requests;
             for (auto count = random() % 4; count > 0; --count)
                 requests["d" + std::to_string(random() % 5)] = 1 + random() % 9;
             all.replace(entry, loadsOf(requests));
-            last[entry] = requests;
+            reports[entry] = requests;
         }
         std::map<std::string, std::uint32_t> expected;
-        for (const auto& [other, requests] : last) {
+        for (const auto& [other, requests] : reports) {
             for (const auto& [id, count] : requests) {
                 if (other != "entry-0")
                     expected[id] += count;
--- a/Tests/Coordination/RequestBlocksTest.cpp
+++ b/Tests/Coordination/RequestBlocksTest.cpp
@@ -34,9 +34,9 @@
 
     two_crashes()
     {
-        CHECK(blocks.suspect(crashAt("e1", "a"), now) == 1);
+        CHECK(blocks.addSuspectedCrash(crashAt("e1", "a"), now) == 1);
         CHECK(blocks.blocks().requests_size() == 0);
-        CHECK(blocks.suspect(crashAt("e2", "b"), now) == 2);
+        CHECK(blocks.addSuspectedCrash(crashAt("e2", "b"), now) == 2);
         REQUIRE(blocks.blocks().requests_size() == 1);
         CHECK(blocks.blocks().requests(0).fingerprint() == request);
         CHECK_FALSE(blocks.blocks().requests(0).certain());
@@ -86,12 +86,12 @@
 }
 
 // Guards against refusing a request when only the connections to its endpoints broke.
-TEST_CASE("A suspected block ends when an endpoint reports again from the same run or says farewell")
+TEST_CASE("A suspected block ends when an endpoint reports again from the same run or reports that it is gone")
 {
     two_crashes seen;
-    bool farewell = GENERATE(false, true);
+    bool gone = GENERATE(false, true);
     seen.now += std::chrono::seconds(2);
-    seen.blocks.onReport(reportOf("e1", firstRun, farewell ? wire::ENDPOINT_GONE : wire::ENDPOINT_SERVING), seen.now);
+    seen.blocks.onReport(reportOf("e1", firstRun, gone ? wire::ENDPOINT_GONE : wire::ENDPOINT_SERVING), seen.now);
     CHECK_FALSE(seen.blocked());
 }
 
@@ -100,8 +100,8 @@
 {
     request_blocks blocks { block_settings {} };
     time_point now { std::chrono::hours(1) };
-    CHECK(blocks.suspect(crashAt("e1", "a"), now) == 1);
-    CHECK(blocks.suspect(crashAt("e1", "b"), now) == 1);
+    CHECK(blocks.addSuspectedCrash(crashAt("e1", "a"), now) == 1);
+    CHECK(blocks.addSuspectedCrash(crashAt("e1", "b"), now) == 1);
     CHECK(blocks.blocks().requests_size() == 0);
 }
 
--- a/Tests/Coordination/StateTransferTest.cpp
+++ b/Tests/Coordination/StateTransferTest.cpp
@@ -1,8 +1,6 @@
-// What callers see: after a restart of all VMs, entries on slow links answer 503 for good.
-// What happens: an entry that starts asks the leader for all that it lacks; the configuration takes longer over its link
-// than an answer may take; the answer is dropped as late, and the next question asks for the whole again.
-// Why it must not: whatever the size, the link and the number of entries that start at once, each must come to serve, and
-// heartbeats and questions must not wait behind the bulk.
+// Guards against entries on slow links that answer 503 forever after a restart: the configuration takes longer over the link
+// than the reply timeout, the late reply is dropped, and the next request starts over. Also guards against heartbeats and
+// requests that queue behind bulk transfers.
 #include "Coordination/slow_fleet.h"
 #include <catch2/catch.hpp>
 
@@ -11,13 +9,13 @@
 
 namespace {
 constexpr std::size_t megabyte = 1'000'000;
-/// Within this time of its start a VM must serve.
+/// An entry must serve within this time after its start.
 constexpr std::chrono::milliseconds recoveryBound { 12000 };
-/// How long a question to the leader may take while bulk state is under way.
-constexpr milliseconds questionBound { 300 };
+/// Limit on the latency of a request to the leader during bulk transfers.
+constexpr milliseconds requestBound { 300 };
 }
 
-TEST_CASE("An entry gets a configuration that takes longer over its link than an answer may take")
+TEST_CASE("An entry receives a configuration whose transfer takes longer than the reply timeout")
 {
     slow_fleet fleet(1);
     fleet.submit(5, randomText(megabyte));
@@ -26,7 +24,7 @@
         fleet.context, [&] { return fleet.allServe(5); }, recoveryBound));
 }
 
-TEST_CASE("Sixty and three hundred entries that start at once on slow links all serve within the recovery bound")
+TEST_CASE("Sixty and three hundred entries that start at once on slow links serve within the recovery bound")
 {
     for (int count : { 60, 300 }) {
         slow_fleet fleet(count == 60 ? 2 : 3);
@@ -37,27 +35,27 @@
     }
 }
 
-TEST_CASE("A question to the leader doesn't wait behind a configuration that is under way")
+TEST_CASE("A request to the leader doesn't queue behind a configuration transfer")
 {
     slow_fleet fleet(4);
     fleet.submit(5, randomText(megabyte));
     fleet.startEntries(20);
     REQUIRE(runUntil(
         fleet.context, [&] { return !fleet.entries.front()->link().leader().empty(); }, recoveryBound));
-    std::vector<milliseconds> took;
-    while (!fleet.allServe(5) && took.size() < 500) {
+    std::vector<milliseconds> latencies;
+    while (!fleet.allServe(5) && latencies.size() < 500) {
         bool answered = false;
-        auto askedAt = fleet.clock.now();
+        auto sentAt = fleet.clock.now();
         wire::envelope message;
         message.mutable_limit()->set_organisation("none");
         auto& one = *fleet.entries.front();
         one.network().call(one.link().leader(), std::move(message), recoveryBound, [&](const wire::envelope*) { answered = true; });
         REQUIRE(runUntil(
             fleet.context, [&] { return answered; }, recoveryBound));
-        took.push_back(std::chrono::duration_cast<milliseconds>(fleet.clock.now() - askedAt));
+        latencies.push_back(std::chrono::duration_cast<milliseconds>(fleet.clock.now() - sentAt));
     }
-    REQUIRE(!took.empty());
-    CHECK(*std::max_element(took.begin(), took.end()) < questionBound);
+    REQUIRE(!latencies.empty());
+    CHECK(*std::max_element(latencies.begin(), latencies.end()) < requestBound);
     CHECK(fleet.allServe(5));
 }
 
@@ -74,11 +72,11 @@
     fleet.submit(6, body);
     CHECK(runUntil(
         fleet.context, [&] { return fleet.allServe(6); }, recoveryBound));
-    // The whole would take 0.8 s.
+    // The full configuration would take 0.8 s.
     CHECK(fleet.clock.now() - changedAt < milliseconds(500));
 }
 
-TEST_CASE("Entries on slow links learn of thousands of endpoints")
+TEST_CASE("Entries on slow links receive thousands of endpoints")
 {
     slow_fleet fleet(6);
     fleet.submit(5, "small");
@@ -90,12 +88,12 @@
         report.set_sequence(1);
         report.set_service("engines");
         report.set_address(fmt::format("10.{}.{}.1:8080", i / 250, i % 250));
-        fleet.leader->coordinator().report(report, [](bool) {});
+        fleet.leader->coordinator().handleReport(report, [](bool) {});
     }
     fleet.startEntries(10);
     CHECK(runUntil(
         fleet.context, [&] {
-            return std::all_of(fleet.entries.begin(), fleet.entries.end(), [&](const auto& one) { return one->endpoints() == many; });
+            return std::all_of(fleet.entries.begin(), fleet.entries.end(), [&](const auto& one) { return one->endpointCount() == many; });
         },
         recoveryBound));
 }
--- a/Tests/Coordination/coordination_fleet.cpp
+++ b/Tests/Coordination/coordination_fleet.cpp
@@ -6,7 +6,7 @@
 namespace pistachiolatch::test {
 
 namespace {
-    /// The version leads the body, since a test's configuration holds nothing else that is read.
+    /// Reads the version at the start of the body; tests use nothing else of a configuration.
     result<configuration> decodeVersion(const std::string& body)
     {
         configuration decoded;
@@ -35,7 +35,7 @@
     return text;
 }
 
-leader_under_test::leader_under_test(boost::asio::io_context& context, const clock_source& clock, std::string address)
+test_leader::test_leader(boost::asio::io_context& context, const clock_source& clock, std::string address)
     : m_context(context)
     , m_folder(fmt::format("{}/leader-{}-{}", std::filesystem::temp_directory_path().string(), ::getpid(), vmOfAddress(address)))
     , m_network(context, clock, m_metrics)
@@ -61,18 +61,18 @@
     m_coordinator->start();
 }
 
-leader_under_test::~leader_under_test()
+test_leader::~test_leader()
 {
     m_coordinator->stop();
     m_replica->stop();
     m_network.stop();
-    // Handlers that were posted still hold this leader's parts; they must run before it goes.
+    // Posted handlers still refer to this leader's members and must run before it is destroyed.
     m_context.restart();
     m_context.poll();
     std::filesystem::remove_all(m_folder);
 }
 
-void leader_under_test::submit(std::uint64_t version, const std::string& body)
+void test_leader::submit(std::uint64_t version, const std::string& body)
 {
     wire::document document;
     document.set_version(version);
@@ -80,7 +80,7 @@
     m_replica->submit(std::move(document), [](submit_result) {});
 }
 
-entry_under_test::entry_under_test(boost::asio::io_context& context, const clock_source& clock, const std::string& control)
+test_entry::test_entry(boost::asio::io_context& context, const clock_source& clock, const std::string& control)
     : m_context(context)
     , m_network(context, clock, m_metrics)
     , m_link(context, m_network, clock, m_metrics, control_link_settings { { control } }, decodeVersion, *this)
@@ -90,7 +90,7 @@
     m_link.start();
 }
 
-entry_under_test::~entry_under_test()
+test_entry::~test_entry()
 {
     m_link.stop();
     m_network.stop();
@@ -98,7 +98,7 @@
     m_context.poll();
 }
 
-void entry_under_test::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything)
+void test_entry::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything)
 {
     if (everything)
         m_endpoints.clear();
@@ -106,15 +106,15 @@
         m_endpoints.insert(row.report().id());
 }
 
-bool runUntil(boost::asio::io_context& context, const std::function<bool()>& condition, std::chrono::milliseconds within)
+bool runUntil(boost::asio::io_context& context, const std::function<bool()>& condition, std::chrono::milliseconds timeout)
 {
-    constexpr std::chrono::milliseconds look { 10 };
-    auto end = std::chrono::steady_clock::now() + within;
+    constexpr std::chrono::milliseconds pollInterval { 10 };
+    auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end)
             return false;
         context.restart();
-        context.run_for(look);
+        context.run_for(pollInterval);
     }
     return true;
 }
--- a/Tests/Coordination/coordination_fleet.h
+++ b/Tests/Coordination/coordination_fleet.h
@@ -6,20 +6,20 @@
 
 namespace pistachiolatch::test {
 
-/// A configuration of about so many bytes that looks like a real one: many routes, whose names alone differ.
+/// Returns a realistic configuration of at least the given size: many routes that differ only in their names.
 std::string routesText(std::size_t bytes);
-/// Text that no compressor makes smaller.
+/// Returns incompressible text.
 std::string randomText(std::size_t bytes);
 
-/// A control process that leads a log of its own.
-class leader_under_test {
+/// A control process that leads a log without other replicas.
+class test_leader {
 public:
-    leader_under_test(boost::asio::io_context& context, const clock_source& clock, std::string address);
-    ~leader_under_test();
-    leader_under_test(const leader_under_test&) = delete;
-    leader_under_test& operator=(const leader_under_test&) = delete;
+    test_leader(boost::asio::io_context& context, const clock_source& clock, std::string address);
+    ~test_leader();
+    test_leader(const test_leader&) = delete;
+    test_leader& operator=(const test_leader&) = delete;
 
-    bool leads() const { return m_replica->leads(); }
+    bool isLeader() const { return m_replica->isLeader(); }
     void submit(std::uint64_t version, const std::string& body);
     std::uint64_t version() const { return m_replica->document().version(); }
     entry_coordinator& coordinator() { return *m_coordinator; }
@@ -33,18 +33,18 @@
     std::unique_ptr<entry_coordinator> m_coordinator;
 };
 
-/// An entry's link to control, and what it has learnt through it.
-class entry_under_test final : public endpoint_listener {
+/// An entry's link to control with the endpoints that it received.
+class test_entry final : public endpoint_listener {
 public:
-    entry_under_test(boost::asio::io_context& context, const clock_source& clock, const std::string& control);
-    ~entry_under_test() override;
-    entry_under_test(const entry_under_test&) = delete;
-    entry_under_test& operator=(const entry_under_test&) = delete;
+    test_entry(boost::asio::io_context& context, const clock_source& clock, const std::string& control);
+    ~test_entry() override;
+    test_entry(const test_entry&) = delete;
+    test_entry& operator=(const test_entry&) = delete;
 
-    bool serves(std::uint64_t version) const { return m_link.isCurrent() && m_link.table()->version() >= version; }
+    bool serves(std::uint64_t version) const { return m_link.hasCurrentConfiguration() && m_link.routeTable()->version() >= version; }
     control_link& link() { return m_link; }
     peer_network& network() { return m_network; }
-    std::size_t endpoints() const { return m_endpoints.size(); }
+    std::size_t endpointCount() const { return m_endpoints.size(); }
 
     void onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything) override;
     void onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>&) override { }
@@ -59,7 +59,7 @@
     std::set<std::string> m_endpoints;
 };
 
-/// Runs the context until the condition holds or the time is over. Returns whether it held.
-bool runUntil(boost::asio::io_context& context, const std::function<bool()>& condition, std::chrono::milliseconds within);
+/// Runs the context until the condition holds or the timeout expires. Returns whether it held.
+bool runUntil(boost::asio::io_context& context, const std::function<bool()>& condition, std::chrono::milliseconds timeout);
 
 } // namespace pistachiolatch::test
--- a/Tests/Coordination/slow_fleet.h
+++ b/Tests/Coordination/slow_fleet.h
@@ -4,18 +4,17 @@
 
 namespace pistachiolatch::test {
 
-/// A leader, and entries that each have a slow link to it.
+/// A leader and entries with a slow link each.
 class slow_fleet {
 public:
-    /// The number names a range of loopback addresses that no other fleet of a test program uses.
+    /// The number selects a range of loopback addresses; it must be unique in a test program.
     explicit slow_fleet(int network)
         : m_network(network)
         , m_leaderAddress(fmt::format("127.8.{}.1:23710", network))
     {
-        // Each leader of a test has a log of its own.
-        leader = std::make_unique<leader_under_test>(context, clock, m_leaderAddress);
+        leader = std::make_unique<test_leader>(context, clock, m_leaderAddress);
         REQUIRE(runUntil(
-            context, [&] { return leader->leads(); }, founding));
+            context, [&] { return leader->isLeader(); }, startTimeout));
     }
     ~slow_fleet()
     {
@@ -31,7 +30,7 @@
     {
         leader->submit(version, body);
         REQUIRE(runUntil(
-            context, [&] { return leader->version() == version; }, founding));
+            context, [&] { return leader->version() == version; }, startTimeout));
     }
 
     void startEntries(int count)
@@ -42,11 +41,11 @@
             proxy.setRule("", ip, { .bytesPerSecond = slowLink });
             proxy.forward(address, m_leaderAddress);
             m_entryIps.insert(ip);
-            entries.push_back(std::make_unique<entry_under_test>(context, clock, address));
+            entries.push_back(std::make_unique<test_entry>(context, clock, address));
         }
     }
 
-    /// Sets what the entries' links carry from now on.
+    /// Changes the bandwidth of all entries' links.
     void throttle(std::size_t bytesPerSecond)
     {
         for (const auto& ip : m_entryIps)
@@ -61,13 +60,13 @@
     boost::asio::io_context context;
     steady_clock_source clock;
     fault_proxy proxy;
-    std::unique_ptr<leader_under_test> leader;
-    std::vector<std::unique_ptr<entry_under_test>> entries;
+    std::unique_ptr<test_leader> leader;
+    std::vector<std::unique_ptr<test_entry>> entries;
 
 private:
     /// 10 Mbit/s.
     static constexpr std::size_t slowLink = 1'250'000;
-    static constexpr std::chrono::milliseconds founding { 5000 };
+    static constexpr std::chrono::milliseconds startTimeout { 5000 };
     int m_network;
     std::string m_leaderAddress;
     std::set<std::string> m_entryIps;
--- a/Tests/Replication/DocumentReplicaTest.cpp
+++ b/Tests/Replication/DocumentReplicaTest.cpp
@@ -9,18 +9,18 @@
 constexpr int firstPort = 23610;
 
 /// One replica in this process, with its own network and folder.
-class replica_under_test {
+class test_replica {
 public:
-    replica_under_test(boost::asio::io_context& context, const clock_source& clock, int number, std::vector<std::string> founders)
+    test_replica(boost::asio::io_context& context, const clock_source& clock, int number, std::vector<std::string> initialVoters)
         : m_context(context)
         , m_clock(clock)
         , m_address(fmt::format("127.0.5.{}:{}", number, firstPort))
         , m_folder(fmt::format("{}/replica-{}-{}", std::filesystem::temp_directory_path().string(), ::getpid(), number))
-        , m_founders(std::move(founders))
+        , m_initialVoters(std::move(initialVoters))
     {
         wipe();
     }
-    ~replica_under_test()
+    ~test_replica()
     {
         stop();
         std::filesystem::remove_all(m_folder);
@@ -33,8 +33,8 @@
         replica_events events;
         events.documentChanged = [] {};
         events.leadershipChanged = [](bool) {};
-        m_replica = std::make_unique<document_replica>(m_context, *m_network, m_clock, m_metrics, replica_settings { m_folder, { m_address, m_founders, firstStart } }, std::move(events));
-        m_replica->addPeers(m_founders);
+        m_replica = std::make_unique<document_replica>(m_context, *m_network, m_clock, m_metrics, replica_settings { m_folder, { m_address, m_initialVoters, firstStart } }, std::move(events));
+        m_replica->addPeers(m_initialVoters);
         REQUIRE(m_network->listen(m_address));
         m_network->start();
         m_replica->start();
@@ -48,7 +48,7 @@
         CHECK(m_replica->hasStorage());
         m_replica->stop();
         m_network->stop();
-        // Handlers that were posted still hold this replica's network; they must run before it goes.
+        // Posted handlers still refer to this replica's network and must run before it is destroyed.
         m_context.poll();
         m_context.restart();
         m_replica.reset();
@@ -71,28 +71,28 @@
     metrics m_metrics;
     std::string m_address;
     std::string m_folder;
-    std::vector<std::string> m_founders;
+    std::vector<std::string> m_initialVoters;
     std::unique_ptr<peer_network> m_network;
     std::unique_ptr<document_replica> m_replica;
 };
 
-class fleet_of_replicas {
+class replica_cluster {
 public:
-    explicit fleet_of_replicas(int count)
+    explicit replica_cluster(int count)
     {
-        std::vector<std::string> founders;
+        std::vector<std::string> initialVoters;
         for (int i = 1; i <= 3; ++i)
-            founders.push_back(fmt::format("127.0.5.{}:{}", i, firstPort));
+            initialVoters.push_back(fmt::format("127.0.5.{}:{}", i, firstPort));
         for (int i = 1; i <= count; ++i)
-            replicas.push_back(std::make_unique<replica_under_test>(context, clock, i, founders));
+            replicas.push_back(std::make_unique<test_replica>(context, clock, i, initialVoters));
         for (auto& one : replicas)
             one->start(true);
     }
 
-    /// Runs the replicas until the condition holds; fails when it doesn't within the time.
-    void runUntil(const std::function<bool()>& condition, std::chrono::seconds within = std::chrono::seconds(15))
+    /// Runs the replicas until the condition holds; fails after the timeout.
+    void runUntil(const std::function<bool()>& condition, std::chrono::seconds timeout = std::chrono::seconds(15))
     {
-        auto end = clock.now() + within;
+        auto end = clock.now() + timeout;
         while (!condition()) {
             REQUIRE(clock.now() < end);
             context.restart();
@@ -100,10 +100,10 @@
         }
     }
 
-    replica_under_test* leader()
+    test_replica* leader()
     {
         for (auto& one : replicas) {
-            if (one->isRunning() && one->replica().leads())
+            if (one->isRunning() && one->replica().isLeader())
                 return one.get();
         }
         return nullptr;
@@ -112,7 +112,7 @@
     std::size_t voters() { return leader() ? leader()->replica().voters() : 0; }
 
     /// Submits a document at a replica and waits until it is accepted.
-    void submit(replica_under_test& at, std::uint64_t version, const std::string& body)
+    void submit(test_replica& replica, std::uint64_t version, const std::string& body)
     {
         bool accepted = false;
         bool waiting = false;
@@ -123,7 +123,7 @@
             wire::document document;
             document.set_version(version);
             document.set_body(body);
-            at.replica().submit(document, [&](submit_result outcome) {
+            replica.replica().submit(document, [&](submit_result outcome) {
                 waiting = false;
                 accepted = !outcome.unavailable;
             });
@@ -133,52 +133,49 @@
 
     boost::asio::io_context context { 1 };
     boottime_clock_source clock;
-    std::vector<std::unique_ptr<replica_under_test>> replicas;
+    std::vector<std::unique_ptr<test_replica>> replicas;
 };
 }
 
-// Operators see: a change that was acknowledged is gone, and nothing is accepted any more.
-// Order: a VM that founded the log loses its disk while a VM that didn't found it leads; the wiped VM asks the founders
-// to let it in, none of which leads, and stays outside; two more disks are lost, and only two voters of five are left.
-// Why: the question to join went to the addresses of the start only. A replica that doesn't lead now hands it on.
-TEST_CASE("A wiped replica gets back in though the leader is none of those it knows")
+// Guards against losing the quorum and acknowledged changes after several lost disks: a wiped initial voter knows only the
+// initial voters. If its join request is not forwarded to a leader that is none of them, it never rejoins.
+TEST_CASE("A wiped replica rejoins although it does not know the leader")
 {
-    fleet_of_replicas fleet(5);
-    fleet.runUntil([&] { return fleet.voters() == 5; });
-    auto isFounder = [&](replica_under_test* one) { return one == fleet.replicas[0].get() || one == fleet.replicas[1].get() || one == fleet.replicas[2].get(); };
+    replica_cluster cluster(5);
+    cluster.runUntil([&] { return cluster.voters() == 5; });
+    auto isInitialVoter = [&](test_replica* one) { return one == cluster.replicas[0].get() || one == cluster.replicas[1].get() || one == cluster.replicas[2].get(); };
     std::uint64_t version = 0;
-    while (isFounder(fleet.leader())) {
-        auto* before = fleet.leader();
+    while (isInitialVoter(cluster.leader())) {
+        auto* before = cluster.leader();
         before->stop();
-        fleet.runUntil([&] { return fleet.leader() != nullptr; });
+        cluster.runUntil([&] { return cluster.leader() != nullptr; });
         before->start(false);
-        fleet.submit(*before, ++version, "in touch again");
+        cluster.submit(*before, ++version, "reconnected");
     }
-    fleet.submit(*fleet.leader(), ++version, "the last");
-    fleet.replicas[0]->stop();
-    fleet.replicas[0]->wipe();
-    fleet.replicas[0]->start(false);
-    fleet.runUntil([&] { return fleet.voters() == 5 && fleet.replicas[0]->replica().isVoter(); }, std::chrono::seconds(4));
-    CHECK(fleet.replicas[0]->replica().document().version() == version);
+    cluster.submit(*cluster.leader(), ++version, "last");
+    cluster.replicas[0]->stop();
+    cluster.replicas[0]->wipe();
+    cluster.replicas[0]->start(false);
+    cluster.runUntil([&] { return cluster.voters() == 5 && cluster.replicas[0]->replica().isVoter(); }, std::chrono::seconds(4));
+    CHECK(cluster.replicas[0]->replica().document().version() == version);
 }
 
-// Operators see: two logs, each with changes of its own, after the first start.
-// Order: the three founders start one after the other, the last late; the others found the log without it.
-// Why: each founder writes the same first entry from its settings alone, so the late one joins the log it would have founded.
-TEST_CASE("Founders that start in any order found one log")
+// Guards against a second log with changes of its own when one of the initial voters starts late: each of them must create
+// the same first entry from its settings alone.
+TEST_CASE("Initial voters that start in any order create one log")
 {
-    fleet_of_replicas fleet(5);
-    fleet.runUntil([&] { return fleet.voters() == 5; });
-    fleet.submit(*fleet.replicas[4], 3, "three");
-    fleet.runUntil([&] {
-        for (auto& one : fleet.replicas) {
+    replica_cluster cluster(5);
+    cluster.runUntil([&] { return cluster.voters() == 5; });
+    cluster.submit(*cluster.replicas[4], 3, "three");
+    cluster.runUntil([&] {
+        for (auto& one : cluster.replicas) {
             if (one->replica().document().version() != 3)
                 return false;
         }
         return true;
     });
-    // An older document is acknowledged and changes nothing; so is another one of the same version.
-    fleet.submit(*fleet.replicas[3], 2, "two");
-    fleet.submit(*fleet.replicas[2], 3, "another three");
-    CHECK(fleet.leader()->replica().document().body() == "three");
+    // An older document or another one of the same version is acknowledged and changes nothing.
+    cluster.submit(*cluster.replicas[3], 2, "two");
+    cluster.submit(*cluster.replicas[2], 3, "another three");
+    CHECK(cluster.leader()->replica().document().body() == "three");
 }
