--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -203,7 +203,7 @@
         *message.mutable_report_endpoint()->mutable_report() = report;
         m_network.send(address, std::move(message));
     }
-    // While this process is cut off from the leader, reports don't reach it and the endpoint would count as silent.
+    // If this process stays cut off from the leader, reports don't reach it and the endpoint would count as silent.
     // Without a confirmation the endpoint reports to another process. During an election reports are still confirmed, since
     // the next leader receives them.
     auto now = m_clock.now();
