--- a/Source/forwarding/forward_call.h
+++ b/Source/forwarding/call_forwarder.h
@@ -1,11 +1,11 @@
 #pragma once
 #include "coordination/coordination.h"
-#include "forwarding/answer_head_writer.h"
-#include "forwarding/caller_channel.h"
+#include "forwarding/caller_connection.h"
 #include "forwarding/connection_pool.h"
-#include "forwarding/endpoint_roster.h"
+#include "forwarding/endpoint_registry.h"
 #include "forwarding/event_splitter.h"
-#include "forwarding/repeat_policy.h"
+#include "forwarding/response_writer.h"
+#include "forwarding/retry_policy.h"
 #include "forwarding/shared_retry_budget.h"
 #include "forwarding/stall_policy.h"
 #include "scheduling/output_forecast.h"
@@ -20,7 +20,7 @@
     metrics& counters;
     control_link& link;
     token_account& tokens;
-    endpoint_roster& roster;
+    endpoint_registry& roster;
     connection_pool& pool;
     shared_retry_budget& budget;
     output_forecast& outputs;
@@ -33,7 +33,7 @@
 /// be finished, so that nobody takes a part for the whole.
 /// Each co_await stands in a statement of its own: GCC 12 destroys temporaries of a condition that awaits twice.
 /// Used on the context's thread.
-template <call_dialect Dialect>
+template <call_codec Dialect>
 class forward_call {
 public:
     forward_call(forwarding_context& shared, std::shared_ptr<caller_channel> caller, caller_request request);
@@ -74,9 +74,9 @@
         std::uint64_t callId = 0;
     };
 
-    std::optional<call_refusal> admit();
+    std::optional<error_response> admit();
     /// Returns the refusal if the request is blocked because endpoints crash while running it.
-    std::optional<call_refusal> refusedAsPoison();
+    std::optional<error_response> refusedAsPoison();
     /// Hash of the request's organisation, method, host, path and body, computed on first use.
     std::uint64_t fingerprint();
     /// Reports a broken connection of the last attempt, if any, to the leader and waits for the request's crash count.
@@ -108,23 +108,23 @@
     task_of<void> ensurePrefill(const model_places& places);
     std::optional<picked_endpoint> pickPrefill(const model_places& places, const std::set<std::string>& tried);
     task_of<prefill_try> prefillAt(const picked_endpoint& endpoint);
-    task_of<attempt_end> sendTo(const picked_endpoint& endpoint, attempt_orders orders);
+    task_of<attempt_end> sendTo(const picked_endpoint& endpoint, attempt_options orders);
     task_of<attempt_end> receive(const picked_endpoint& endpoint);
-    task_of<attempt_end> passStream(const picked_endpoint& endpoint, const answer_head& answer);
-    task_of<attempt_end> keepSpare(const picked_endpoint& endpoint, const answer_head& answer);
-    task_of<attempt_end> passWhole(const picked_endpoint& endpoint, const answer_head& answer);
-    task_of<call_failure> readOwnHead(answer_head& answer);
+    task_of<attempt_end> passStream(const picked_endpoint& endpoint, const response_metadata& answer);
+    task_of<attempt_end> keepSpare(const picked_endpoint& endpoint, const response_metadata& answer);
+    task_of<attempt_end> passWhole(const picked_endpoint& endpoint, const response_metadata& answer);
+    task_of<call_failure> readOwnHead(response_metadata& answer);
     task_of<std::shared_ptr<endpoint_connection>> open(const picked_endpoint& endpoint, bool mayBeRepeated);
     bool tryAgainAfter(attempt_end end, const std::string& endpointId);
     task_of<void> conclude(reason whyNotServed);
-    task_of<void> refuse(call_refusal refusal);
+    task_of<void> refuse(error_response refusal);
     void releasePrefill();
 
     void startDeadline();
     void armAttempt(milliseconds patience);
     void disarmAttempt();
     void cutCurrent();
-    void finishConnection(const std::string& endpointId, const answer_head& answer);
+    void finishConnection(const std::string& endpointId, const response_metadata& answer);
     void logEnd();
     /// Logs why an answer is cut after it has begun, with the inputs to that decision.
     void logCut(std::string_view why) const;
@@ -134,12 +134,12 @@
     bool resumable() const { return m_route->kind == call_kind::Stream && m_route->resumable; }
     milliseconds timeLeft() const { return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(m_endsAt - m_shared.clock.now())); }
     milliseconds age() const { return std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_receivedAt); }
-    attempt_orders ordersFor(const picked_endpoint& endpoint) const;
+    attempt_options ordersFor(const picked_endpoint& endpoint) const;
 
     forwarding_context& m_shared;
     std::shared_ptr<caller_channel> m_caller;
     caller_request m_request;
-    call_head m_head;
+    request_metadata m_head;
     time_point m_receivedAt;
     time_point m_endsAt;
     std::shared_ptr<const route_table> m_table;
@@ -205,7 +205,7 @@
 
 } // namespace pistachiolatch
 
-#include "forwarding/forward_call_answers.h"
-#include "forwarding/forward_call_model.h"
-#include "forwarding/forward_call_steps.h"
-#include "forwarding/forward_call_streams.h"
+#include "forwarding/call_forwarder_common.h"
+#include "forwarding/call_forwarder_models.h"
+#include "forwarding/call_forwarder_responses.h"
+#include "forwarding/call_forwarder_streams.h"
--- a/Source/forwarding/forward_call_steps.h
+++ b/Source/forwarding/call_forwarder_common.h
@@ -1,6 +1,6 @@
 #pragma once
 // The steps that all calls share and those of calls to plain services. Included by forward_call.h alone.
-#include "forwarding/forward_call.h"
+#include "forwarding/call_forwarder.h"
 #include <boost/asio.hpp>
 #include <xxhash.h>
 
@@ -27,7 +27,7 @@
     /// The least that a caller over its rate is told to wait.
     constexpr milliseconds leastRateWait { 200 };
     /// When a call's tokens are not stated, it counts the organisation's figure for plain calls.
-    inline std::uint64_t tokensOf(const organisation_config& organisation, const call_head& head)
+    inline std::uint64_t tokensOf(const organisation_config& organisation, const request_metadata& head)
     {
         if (!organisation.countsTokens)
             return 1;
@@ -35,12 +35,12 @@
     }
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 forward_call<Dialect>::forward_call(forwarding_context& shared, std::shared_ptr<caller_channel> caller, caller_request request)
     : m_shared(shared)
     , m_caller(std::move(caller))
     , m_request(std::move(request))
-    , m_head(Dialect::decodeCall(m_request))
+    , m_head(Dialect::parseRequest(m_request))
     , m_receivedAt(shared.clock.now())
     , m_endsAt(m_receivedAt + m_head.deadline.value_or(milliseconds(std::chrono::hours(1))))
     , m_table(shared.link.table())
@@ -50,7 +50,7 @@
     m_keepAlive = m_request.keep_alive();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 forward_call<Dialect>::~forward_call()
 {
     *m_alive = false;
@@ -59,7 +59,7 @@
     m_attemptTimer.cancel();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<bool> forward_call<Dialect>::run()
 {
     auto refused = admit();
@@ -78,7 +78,7 @@
     auto verdict = co_await takeTokens();
     if (!verdict.granted && !ended()) {
         auto why = verdict.overRate ? reason::OverRate : reason::LimitUnreachable;
-        call_refusal refusal { why, httpStatus(why), std::max(verdict.retryAfter, forwarding_detail::leastRateWait) };
+        error_response refusal { why, httpStatus(why), std::max(verdict.retryAfter, forwarding_detail::leastRateWait) };
         co_await refuse(refusal);
     } else if (!ended()) {
         auto& service = chooseService(*m_route, std::uniform_real_distribution<double>()(m_shared.random));
@@ -99,17 +99,17 @@
     co_return goesOn;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::refuseAtShutdown()
 {
-    call_refusal refusal { reason::ShuttingDown, httpStatus(reason::ShuttingDown), milliseconds(0) };
+    error_response refusal { reason::ShuttingDown, httpStatus(reason::ShuttingDown), milliseconds(0) };
     co_await refuse(refusal);
 }
 
-template <call_dialect Dialect>
-std::optional<call_refusal> forward_call<Dialect>::admit()
+template <call_codec Dialect>
+std::optional<error_response> forward_call<Dialect>::admit()
 {
-    auto refusal = [](reason why, std::optional<milliseconds> retryAfter = std::nullopt) { return call_refusal { why, httpStatus(why), retryAfter }; };
+    auto refusal = [](reason why, std::optional<milliseconds> retryAfter = std::nullopt) { return error_response { why, httpStatus(why), retryAfter }; };
     // An entry out of touch must not act on what it once knew: a key may have been withdrawn meanwhile.
     if (!m_shared.link.isCurrent())
         return refusal(reason::NoConfig, forwarding_detail::comeBackSoon);
@@ -132,8 +132,8 @@
     return std::nullopt;
 }
 
-template <call_dialect Dialect>
-std::optional<call_refusal> forward_call<Dialect>::refusedAsPoison()
+template <call_codec Dialect>
+std::optional<error_response> forward_call<Dialect>::refusedAsPoison()
 {
     if (!m_shared.link.blocksRequests())
         return std::nullopt;
@@ -141,14 +141,14 @@
     case request_block::None:
         return std::nullopt;
     case request_block::Suspected:
-        return call_refusal { reason::SuspectedPoison, httpStatus(reason::SuspectedPoison), forwarding_detail::suspicionRetryAfter };
+        return error_response { reason::SuspectedPoison, httpStatus(reason::SuspectedPoison), forwarding_detail::suspicionRetryAfter };
     case request_block::Certain:
         break;
     }
-    return call_refusal { reason::PoisonRequest, httpStatus(reason::PoisonRequest), std::nullopt };
+    return error_response { reason::PoisonRequest, httpStatus(reason::PoisonRequest), std::nullopt };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 std::uint64_t forward_call<Dialect>::fingerprint()
 {
     if (!m_fingerprint) {
@@ -159,7 +159,7 @@
     return *m_fingerprint;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::noteBrokenConnection(const picked_endpoint& endpoint)
 {
     // A connection closed by this entry is no evidence of a crash.
@@ -167,7 +167,7 @@
         m_brokenEndpoint = endpoint;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::reportCrash()
 {
     auto endpoint = std::exchange(m_brokenEndpoint, std::nullopt);
@@ -185,7 +185,7 @@
     m_crashes = std::max<std::uint32_t>(crashes.value_or(0), m_crashReports);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<token_verdict> forward_call<Dialect>::takeTokens()
 {
     if (!m_organisation || m_organisation->rate == 0)
@@ -197,7 +197,7 @@
     co_return verdict.value_or(token_verdict {});
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::startDeadline()
 {
     m_deadlineTimer.expires_after(timeLeft());
@@ -209,7 +209,7 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::armAttempt(milliseconds patience)
 {
     m_attemptExpired = false;
@@ -223,14 +223,14 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::disarmAttempt()
 {
     ++m_attempt;
     m_attemptTimer.cancel();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::cutCurrent()
 {
     // Closing the connection is how an endpoint learns that nobody waits for its work any more.
@@ -238,18 +238,18 @@
         m_current->close();
 }
 
-template <call_dialect Dialect>
-attempt_orders forward_call<Dialect>::ordersFor(const picked_endpoint& endpoint) const
+template <call_codec Dialect>
+attempt_options forward_call<Dialect>::ordersFor(const picked_endpoint& endpoint) const
 {
-    attempt_orders orders;
+    attempt_options orders;
     orders.endpointId = endpoint.id;
     orders.timeLeft = timeLeft();
     orders.organisation = m_organisation ? m_organisation->name : std::string();
-    orders.resumeAfter = m_events.lastId().empty() ? m_head.resumeAfter : m_events.lastId();
+    orders.resumeAfterEventId = m_events.lastId().empty() ? m_head.resumeAfterEventId : m_events.lastId();
     return orders;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<std::shared_ptr<endpoint_connection>> forward_call<Dialect>::open(const picked_endpoint& endpoint, bool mayBeRepeated)
 {
     if (auto kept = m_shared.pool.take(endpoint.id, mayBeRepeated)) {
@@ -272,7 +272,7 @@
     co_return nullptr;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::runPlain()
 {
     reason why = reason::NoEndpoint;
@@ -299,7 +299,7 @@
     co_await conclude(why);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 bool forward_call<Dialect>::tryAgainAfter(attempt_end end, const std::string& endpointId)
 {
     m_tried.insert(endpointId);
@@ -319,8 +319,8 @@
     return allowed;
 }
 
-template <call_dialect Dialect>
-task_of<attempt_end> forward_call<Dialect>::sendTo(const picked_endpoint& endpoint, attempt_orders orders)
+template <call_codec Dialect>
+task_of<attempt_end> forward_call<Dialect>::sendTo(const picked_endpoint& endpoint, attempt_options orders)
 {
     auto connection = co_await open(endpoint, idempotent());
     if (!connection)
@@ -331,7 +331,7 @@
     m_attemptExpired = false;
     m_endpoints += (m_endpoints.empty() ? "" : ",") + endpoint.id;
     orders.timeLeft = timeLeft();
-    connection->beginSend(Dialect::encodeAttempt(m_request, orders));
+    connection->beginSend(Dialect::encodeRequest(m_request, orders));
     bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->mostEndpoints;
     if (mayGoElsewhere)
         armAttempt(std::max(m_route->latencyTarget * forwarding_detail::patienceInTargets, milliseconds(300)));
@@ -352,7 +352,7 @@
     co_return end;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::conclude(reason whyNotServed)
 {
     if (m_callerGone) {
@@ -378,31 +378,31 @@
     }
     if (m_mayHaveRunAt > 0) {
         auto why = m_deadlinePassed ? reason::DeadlinePassed : reason::EndpointFailed;
-        call_refusal refusal { why, httpStatus(why), std::nullopt };
+        error_response refusal { why, httpStatus(why), std::nullopt };
         co_await refuse(refusal);
         co_return;
     }
     auto why = m_deadlinePassed ? reason::DeadlineUnreachable : whyNotServed;
-    call_refusal refusal { why, httpStatus(why), std::max(m_retryAfter, forwarding_detail::comeBackSoon) };
+    error_response refusal { why, httpStatus(why), std::max(m_retryAfter, forwarding_detail::comeBackSoon) };
     co_await refuse(refusal);
 }
 
-template <call_dialect Dialect>
-task_of<void> forward_call<Dialect>::refuse(call_refusal refusal)
+template <call_codec Dialect>
+task_of<void> forward_call<Dialect>::refuse(error_response refusal)
 {
     m_keepAlive = m_keepAlive && !m_shared.draining;
-    m_shared.counters.countRefusal(refusal.why);
+    m_shared.counters.countRefusal(refusal.cause);
     m_status = refusal.status;
-    m_outcome = reasonName(refusal.why);
+    m_outcome = reasonName(refusal.cause);
     m_answerBegun = true;
-    auto bytes = Dialect::encodeRefusal(m_head, refusal, !m_keepAlive);
+    auto bytes = Dialect::encodeErrorResponse(m_head, refusal, !m_keepAlive);
     bool written = co_await m_caller->write(std::move(bytes));
     m_callerGone = m_callerGone || !written;
     if (!m_route)
         logEnd();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::judge(const std::string& endpointId, endpoint_verdict verdict)
 {
     m_shared.roster.judge(endpointId, verdict);
@@ -414,14 +414,14 @@
         m_outcomes.refused.push_back(endpointId);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::logCut(std::string_view why) const
 {
     auto latestVersion = m_shared.link.table() ? m_shared.link.table()->version() : 0;
     logEvent("answer_cut", { { "request", m_head.id }, { "why", why }, { "route", m_route->name }, { "version", m_table->version() }, { "latest_version", latestVersion }, { "events", m_eventsPassed }, { "may_have_run_at", m_mayHaveRunAt }, { "most_endpoints", m_route->mostEndpoints }, { "resumable", resumable() ? 1 : 0 }, { "deadline_ms", m_head.deadline.value_or(milliseconds(0)).count() }, { "timeout_ms", m_route->timeout.count() }, { "time_left_ms", timeLeft().count() }, { "endpoint_wait_ms", m_endpointWait.count() }, { "engines_full", m_enginesFull ? 1 : 0 }, { "draining", m_shared.draining ? 1 : 0 }, { "age_ms", age().count() } });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::cutAtShutdown()
 {
     // A refusal or a whole answer that is still being written already has its outcome.
@@ -433,7 +433,7 @@
     logEnd();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::logEnd()
 {
     // A call cut at shutdown may resume after its connection is closed; log its end only once.
--- a/Source/forwarding/forward_call_model.h
+++ b/Source/forwarding/call_forwarder_models.h
@@ -1,7 +1,7 @@
 #pragma once
 // The steps of calls to model engines. Included by forward_call.h alone.
-#include "forwarding/forward_call.h"
-#include "forwarding/forward_call_steps.h"
+#include "forwarding/call_forwarder.h"
+#include "forwarding/call_forwarder_common.h"
 
 namespace pistachiolatch {
 
@@ -31,7 +31,7 @@
     constexpr int resumePatienceShare = 2;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::runModel()
 {
     reason why = reason::NoCapacity;
@@ -77,7 +77,7 @@
     co_await conclude(why);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 endpoint_query forward_call<Dialect>::decodeQuery() const
 {
     endpoint_query query;
@@ -89,15 +89,15 @@
     return query;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 std::uint64_t forward_call<Dialect>::expectedOutput() const
 {
     if (!m_head.tokens)
         return 0;
-    return m_shared.outputs.expect(m_route->name, m_head.tokens->output, m_head.expectedOutput);
+    return m_shared.outputs.expect(m_route->name, m_head.tokens->output, m_head.outputTokensHint);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 milliseconds forward_call<Dialect>::patienceForPlaces() const
 {
     // A caller who has part of a stream gains nothing from a fast refusal: the stream would be broken off.
@@ -107,7 +107,7 @@
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(answerBy - m_shared.clock.now()));
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 wire::engine_plan_request forward_call<Dialect>::planQuestion(std::uint64_t callId, milliseconds patience) const
 {
     wire::engine_plan_request ask;
@@ -128,7 +128,7 @@
     return ask;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<std::optional<wire::engine_plan_reply>> forward_call<Dialect>::planByLeader()
 {
     pending_reply<std::optional<wire::engine_plan_reply>> reply(m_shared.context.get_executor());
@@ -139,7 +139,7 @@
     co_return *answer;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 std::optional<typename forward_call<Dialect>::model_places> forward_call<Dialect>::placesOfPlan(const wire::engine_plan_reply& plan, std::uint64_t callId) const
 {
     auto decode = m_shared.roster.find(plan.decode());
@@ -148,7 +148,7 @@
     return model_places { *decode, m_shared.roster.find(plan.prefill()), true, callId };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<std::optional<typename forward_call<Dialect>::model_places>> forward_call<Dialect>::awaitPlaces()
 {
     auto plan = co_await planByLeader();
@@ -176,7 +176,7 @@
     co_return std::nullopt;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<attempt_end> forward_call<Dialect>::serveModelAt(const model_places& places)
 {
     co_await ensurePrefill(places);
@@ -194,7 +194,7 @@
     co_return end;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 std::optional<picked_endpoint> forward_call<Dialect>::pickPrefill(const model_places& places, const std::set<std::string>& tried)
 {
     if (places.planned && tried.empty())
@@ -209,14 +209,14 @@
     return m_shared.roster.pick(query);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 bool forward_call<Dialect>::mayBeReadAlone(const picked_endpoint& decode)
 {
     bool hasReaders = m_shared.roster.hasAny(m_service->name, wire::STAGE_PREFILL);
     return m_prefill || !hasReaders || pickPrefill({ decode, std::nullopt, false, 0 }, {});
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> forward_call<Dialect>::ensurePrefill(const model_places& places)
 {
     auto lifetime = m_service->engine->handleLifetime * forwarding_detail::handleTenths / 10;
@@ -251,7 +251,7 @@
     }
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<typename forward_call<Dialect>::prefill_try> forward_call<Dialect>::prefillAt(const picked_endpoint& endpoint)
 {
     endpoint_booking booking(m_shared.roster, endpoint.id, 0);
@@ -259,10 +259,10 @@
     if (!connection)
         co_return prefill_try {};
     auto orders = ordersFor(endpoint);
-    orders.part = attempt_part::Prefill;
-    connection->beginSend(Dialect::encodeAttempt(m_request, orders));
+    orders.stage = attempt_stage::Prefill;
+    connection->beginSend(Dialect::encodeRequest(m_request, orders));
     armAttempt(m_route->latencyTarget * forwarding_detail::prefillPatienceTenths / 10);
-    answer_head answer;
+    response_metadata answer;
     std::string body;
     auto failed = co_await readOwnHead(answer);
     if (failed == call_failure::None)
@@ -283,14 +283,14 @@
     finishConnection(endpoint.id, answer);
     std::optional<std::string> handle;
     if (status == 200)
-        handle = Dialect::decodePrefill(body);
-    auto verdict = handle ? endpoint_verdict::Good : answer.refusedUnrun ? endpoint_verdict::Refused
-                                                                         : endpoint_verdict::Failed;
+        handle = Dialect::parsePrefillHandle(body);
+    auto verdict = handle ? endpoint_verdict::Good : answer.guaranteedNotRun ? endpoint_verdict::Refused
+                                                                             : endpoint_verdict::Failed;
     judge(endpoint.id, verdict);
     co_return prefill_try { std::move(handle), true };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::releasePrefill()
 {
     auto unused = std::exchange(m_prefill, std::nullopt);
@@ -301,7 +301,7 @@
     auto release = [](std::shared_ptr<endpoint_connection> over, prefill_result what) -> task_of<void> {
         bool connected = co_await over->connect(what.endpointAddress);
         if (connected) {
-            over->beginSend(Dialect::encodeRelease(what.endpointAddress, what.handle));
+            over->beginSend(Dialect::encodePrefillRelease(what.endpointAddress, what.handle));
             co_await over->readHead(false);
         }
         over->close();
--- a/Source/forwarding/forward_call_answers.h
+++ b/Source/forwarding/call_forwarder_responses.h
@@ -1,21 +1,21 @@
 #pragma once
 // How an endpoint's answer is read, judged and passed on whole. Included by forward_call.h alone.
-#include "forwarding/forward_call.h"
-#include "forwarding/forward_call_steps.h"
+#include "forwarding/call_forwarder.h"
+#include "forwarding/call_forwarder_common.h"
 #include <algorithm>
 #include <array>
 
 namespace pistachiolatch {
 
-template <call_dialect Dialect>
-task_of<call_failure> forward_call<Dialect>::readOwnHead(answer_head& answer)
+template <call_codec Dialect>
+task_of<call_failure> forward_call<Dialect>::readOwnHead(response_metadata& answer)
 {
     bool bodyless = m_request.method() == boost::beast::http::verb::head;
     for (int stray = 0;; ++stray) {
         auto failed = co_await m_current->readHead(bodyless);
         if (failed != call_failure::None)
             co_return failed;
-        answer = Dialect::decodeAnswer(m_current->fields());
+        answer = Dialect::parseResponse(m_current->fields());
         if (answer.requestId.empty() || answer.requestId == m_head.id)
             co_return call_failure::None;
         // A late answer to an earlier request of this connection; the one that is due follows it.
@@ -29,10 +29,10 @@
     }
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<attempt_end> forward_call<Dialect>::receive(const picked_endpoint& endpoint)
 {
-    answer_head answer;
+    response_metadata answer;
     auto failed = co_await readOwnHead(answer);
     if (failed != call_failure::None) {
         if (!ended())
@@ -44,7 +44,7 @@
     if (answer.load)
         m_shared.roster.noteLoad(endpoint.id, *answer.load);
     constexpr unsigned misdirected = 421;
-    if (answer.refusedUnrun || status == misdirected) {
+    if (answer.guaranteedNotRun || status == misdirected) {
         std::string dropped;
         failed = co_await m_current->readRest(dropped, forwarding_detail::mostAnswerBytes);
         if (failed == call_failure::None)
@@ -54,11 +54,11 @@
         co_return attempt_end::RefusedUnrun;
     }
     bool success = status >= 200 && status < 300;
-    bool trusted = answer.sealed && !answer.encoded && answer.requestId == m_head.id;
+    bool trusted = answer.sealed && !answer.contentEncoded && answer.requestId == m_head.id;
     // These statuses tell the caller that its call has not run; without the endpoint's word for it that would be a guess.
     constexpr std::array promises { 408U, 429U, 503U };
     bool unprovenPromise = std::find(promises.begin(), promises.end(), status) != promises.end();
-    if ((success && !trusted) || unprovenPromise || answer.encoded) {
+    if ((success && !trusted) || unprovenPromise || answer.contentEncoded) {
         judge(endpoint.id, endpoint_verdict::Failed);
         co_return attempt_end::MayHaveRun;
     }
@@ -77,8 +77,8 @@
     co_return co_await passWhole(endpoint, answer);
 }
 
-template <call_dialect Dialect>
-task_of<attempt_end> forward_call<Dialect>::keepSpare(const picked_endpoint& endpoint, const answer_head& answer)
+template <call_codec Dialect>
+task_of<attempt_end> forward_call<Dialect>::keepSpare(const picked_endpoint& endpoint, const response_metadata& answer)
 {
     std::string body;
     auto failed = co_await m_current->readRest(body, forwarding_detail::mostAnswerBytes);
@@ -91,8 +91,8 @@
     co_return attempt_end::MayHaveRun;
 }
 
-template <call_dialect Dialect>
-task_of<attempt_end> forward_call<Dialect>::passWhole(const picked_endpoint& endpoint, const answer_head& answer)
+template <call_codec Dialect>
+task_of<attempt_end> forward_call<Dialect>::passWhole(const picked_endpoint& endpoint, const response_metadata& answer)
 {
     std::string body;
     auto status = m_current->status();
@@ -117,8 +117,8 @@
     co_return attempt_end::Answered;
 }
 
-template <call_dialect Dialect>
-void forward_call<Dialect>::finishConnection(const std::string& endpointId, const answer_head& answer)
+template <call_codec Dialect>
+void forward_call<Dialect>::finishConnection(const std::string& endpointId, const response_metadata& answer)
 {
     auto connection = std::exchange(m_current, nullptr);
     if (connection->reusable())
--- a/Source/forwarding/forward_call_streams.h
+++ b/Source/forwarding/call_forwarder_streams.h
@@ -1,7 +1,7 @@
 #pragma once
 // How a stream of events is passed on, and when it goes on at another endpoint. Included by forward_call.h alone.
-#include "forwarding/forward_call.h"
-#include "forwarding/forward_call_model.h"
+#include "forwarding/call_forwarder.h"
+#include "forwarding/call_forwarder_models.h"
 
 namespace pistachiolatch {
 
@@ -10,7 +10,7 @@
     constexpr milliseconds seekPause { 150 };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::noteEvents(std::string_view piece)
 {
     constexpr std::string_view eventEnd = "\n\n";
@@ -29,7 +29,7 @@
     m_shared.roster.noteGenerated(m_callId, m_eventsPassed * m_service->engine->tokensPerEvent);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 quiet_stream forward_call<Dialect>::quietStream(const std::string& endpointId) const
 {
     auto now = m_shared.clock.now();
@@ -38,7 +38,7 @@
     return { m_route->latencyTarget, m_route->gapTarget, quiet, since(m_shared.roster.heardAt(endpointId)) };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::watchQuiet(picked_endpoint endpoint, milliseconds delay)
 {
     m_attemptTimer.expires_after(delay);
@@ -54,7 +54,7 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::seekOtherPlaces(const picked_endpoint& endpoint)
 {
     // The stream stays where it is until a place elsewhere is certain. Cut first, it ended for its caller wherever no
@@ -77,7 +77,7 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 std::optional<typename forward_call<Dialect>::model_places> forward_call<Dialect>::placesElsewhere(const std::optional<wire::engine_plan_reply>& plan, const picked_endpoint& endpoint, std::uint64_t callId)
 {
     if (plan && plan->full())
@@ -93,7 +93,7 @@
     return model_places { *decode, std::nullopt, false, callId };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::leaveFor(const model_places& places, const picked_endpoint& endpoint)
 {
     auto stream = quietStream(endpoint.id);
@@ -104,7 +104,7 @@
     cutCurrent();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void forward_call<Dialect>::noteMoved(const std::string& endpointId)
 {
     m_tried.insert(endpointId);
@@ -112,8 +112,8 @@
     m_shared.counters.countRetry(reason::EndpointFailed);
 }
 
-template <call_dialect Dialect>
-task_of<attempt_end> forward_call<Dialect>::passStream(const picked_endpoint& endpoint, const answer_head& answer)
+template <call_codec Dialect>
+task_of<attempt_end> forward_call<Dialect>::passStream(const picked_endpoint& endpoint, const response_metadata& answer)
 {
     disarmAttempt();
     auto connection = m_current;
@@ -171,7 +171,7 @@
     }
     m_outcome = "answered";
     judge(endpoint.id, endpoint_verdict::Good);
-    if (m_head.resumeAfter.empty() && m_service->engine)
+    if (m_head.resumeAfterEventId.empty() && m_service->engine)
         m_shared.outputs.learn(m_route->name, m_eventsPassed * m_service->engine->tokensPerEvent);
     finishConnection(endpoint.id, answer);
     co_return attempt_end::Answered;
--- a/Source/forwarding/call_gateway.h
+++ b/Source/forwarding/call_gateway.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "forwarding/forward_call.h"
+#include "forwarding/call_forwarder.h"
 #include <boost/asio.hpp>
 #include <boost/beast/http.hpp>
 #include <set>
@@ -15,7 +15,7 @@
 
 /// The listening side of an entry: reads callers' requests and hands each to a forward_call.
 /// Used on the context's thread.
-template <call_dialect Dialect>
+template <call_codec Dialect>
 class call_gateway {
 public:
     call_gateway(forwarding_context shared, gateway_settings settings);
@@ -69,7 +69,7 @@
     constexpr milliseconds acceptPause { 20 };
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 call_gateway<Dialect>::call_gateway(forwarding_context shared, gateway_settings settings)
     : m_shared(shared)
     , m_settings(std::move(settings))
@@ -78,7 +78,7 @@
 {
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 result<void> call_gateway<Dialect>::listen()
 {
     BOOST_OUTCOME_TRYV(listenOn(m_acceptor, m_settings.listen));
@@ -87,7 +87,7 @@
     return ok();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void call_gateway<Dialect>::accept()
 {
     m_acceptor.async_accept([this](boost::system::error_code error, boost::asio::ip::tcp::socket socket) {
@@ -107,14 +107,14 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 caller_limits call_gateway<Dialect>::limits() const
 {
     const auto& table = m_shared.link.table();
     return table ? table->source().limits : caller_limits {};
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> call_gateway<Dialect>::serve(caller_handle caller)
 {
     while (!caller->channel->isClosed()) {
@@ -144,7 +144,7 @@
     m_callers.erase(caller);
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<std::optional<caller_request>> call_gateway<Dialect>::readRequest(caller_handle caller)
 {
     namespace http = boost::beast::http;
@@ -175,7 +175,7 @@
     co_return std::nullopt;
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 task_of<void> call_gateway<Dialect>::refuseUnreadable(const caller_handle& caller, boost::system::error_code error)
 {
     namespace http = boost::beast::http;
@@ -186,7 +186,7 @@
                                                                                                               : reason::BadRequest;
     m_shared.counters.countRefusal(why);
     logEvent("request_unreadable", { { "why", reasonName(why) }, { "error", error.message() } });
-    auto bytes = Dialect::encodeRefusal({}, { why, httpStatus(why), std::nullopt }, true);
+    auto bytes = Dialect::encodeErrorResponse({}, { why, httpStatus(why), std::nullopt }, true);
     bool written = co_await caller->channel->write(std::move(bytes));
     if (!written)
         co_return;
@@ -202,7 +202,7 @@
     }
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void call_gateway<Dialect>::scheduleSweep()
 {
     m_sweepTimer.expires_after(gateway_detail::sweepInterval);
@@ -214,7 +214,7 @@
     });
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void call_gateway<Dialect>::sweep()
 {
     auto now = m_shared.clock.now();
@@ -239,13 +239,13 @@
     m_shared.pool.dropStale();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void call_gateway<Dialect>::drain()
 {
     m_drainingSince = m_shared.clock.now();
 }
 
-template <call_dialect Dialect>
+template <call_codec Dialect>
 void call_gateway<Dialect>::stop()
 {
     m_stopped = true;
--- a/Source/forwarding/call_types.h
+++ b/Source/forwarding/call_types.h
@@ -18,7 +18,7 @@
 };
 
 /// What the router reads of a caller's request; everything else goes through untouched.
-struct call_head {
+struct request_metadata {
     /// The caller's name for this attempt; unique.
     std::string id;
     /// How long the caller will wait, counted from when the request arrived.
@@ -27,82 +27,82 @@
     std::string key;
     std::optional<token_usage> tokens;
     /// The caller's guess at the tokens of the answer; right in the middle, often far off.
-    std::optional<std::uint64_t> expectedOutput;
+    std::optional<std::uint64_t> outputTokensHint;
     /// The id of the last event that the caller already has of a stream.
-    std::string resumeAfter;
+    std::string resumeAfterEventId;
 };
 
 /// Which part of a model call an endpoint is asked for.
-enum class attempt_part {
+enum class attempt_stage {
     Whole,
     /// Only read the prompt and keep the result for another endpoint to fetch.
     Prefill,
 };
 
 /// What the router tells an endpoint along with the caller's request.
-struct attempt_orders {
+struct attempt_options {
     std::string endpointId;
     milliseconds timeLeft { 0 };
     /// Empty when the call counts for no organisation.
     std::string organisation;
-    attempt_part part = attempt_part::Whole;
+    attempt_stage stage = attempt_stage::Whole;
     /// Where a prefill's result waits; empty when there is none.
     std::string prefillAddress;
     std::string prefillHandle;
-    std::string resumeAfter;
+    std::string resumeAfterEventId;
 };
 
 /// What an endpoint says of its load along with an answer.
-struct load_report {
+struct reported_load {
     unsigned running = 0;
     unsigned waiting = 0;
     unsigned slots = 0;
 };
 
 /// What the router reads of an endpoint's answer.
-struct answer_head {
+struct response_metadata {
     /// Whether the endpoint vouches that the answer is its own.
     bool sealed = false;
     /// Whether the endpoint vouches that it has not run the request and never will.
-    bool refusedUnrun = false;
+    bool guaranteedNotRun = false;
     /// The id of the request that this answers; empty when it names none.
     std::string requestId;
-    std::optional<load_report> load;
+    std::optional<reported_load> load;
     /// How long the endpoint keeps an idle connection, where it says so.
     std::optional<std::chrono::seconds> keepAlive;
     /// Whether the body was encoded on the way and so isn't the endpoint's own.
-    bool encoded = false;
+    bool contentEncoded = false;
 };
 
 /// A final answer of the router's own.
-struct call_refusal {
-    reason why = reason::Internal;
+struct error_response {
+    reason cause = reason::Internal;
     unsigned status = 500;
     std::optional<milliseconds> retryAfter;
 };
 
 /// How calls and answers are written on the wire. A model reads and writes; it decides nothing.
 template <typename T>
-concept call_dialect = requires(const caller_request& request, const call_head& head, const attempt_orders& orders, const header_fields& fields,
-    const call_refusal& refusal, const std::string& text, bool flag)
+concept call_codec = requires(const caller_request& request, const request_metadata& head, const attempt_options& orders, const header_fields& fields,
+    const error_response& refusal, const std::string& text, bool flag)
 {
     {
-        T::decodeCall(request)
-        } -> std::same_as<call_head>;
+        T::parseRequest(request)
+        } -> std::same_as<request_metadata>;
     {
-        T::encodeAttempt(request, orders)
+        T::encodeRequest(request, orders)
         } -> std::same_as<std::string>;
     {
-        T::decodeAnswer(fields)
-        } -> std::same_as<answer_head>;
+        T::parseResponse(fields)
+        } -> std::same_as<response_metadata>;
     {
-        T::decodePrefill(text)
+        T::parsePrefillHandle(text)
         } -> std::same_as<std::optional<std::string>>;
     {
-        T::encodeRefusal(head, refusal, flag)
+        T::encodeErrorResponse(head, refusal, flag)
         } -> std::same_as<std::string>;
     {
-        T::encodeRelease(text, text)
+        T::encodePrefillRelease(text, text)
         } -> std::same_as<std::string>;
 };
 
--- a/Source/forwarding/caller_channel.cpp
+++ b/Source/forwarding/caller_connection.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/caller_channel.h"
+#include "forwarding/caller_connection.h"
 
 #include <boost/asio.hpp>
 #include <sys/socket.h>
--- a/Source/forwarding/endpoint_roster.cpp
+++ b/Source/forwarding/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/endpoint_roster.h"
+#include "forwarding/endpoint_registry.h"
 
 #include <algorithm>
 
@@ -35,14 +35,14 @@
     }
 }
 
-endpoint_roster::endpoint_roster(const clock_source& clock, std::string dataCentre, std::uint64_t seed)
+endpoint_registry::endpoint_registry(const clock_source& clock, std::string dataCentre, std::uint64_t seed)
     : m_clock(clock)
     , m_dataCentre(std::move(dataCentre))
     , m_random(seed)
 {
 }
 
-void endpoint_roster::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything)
+void endpoint_registry::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything)
 {
     auto now = m_clock.now();
     if (everything) {
@@ -58,7 +58,7 @@
     });
 }
 
-void endpoint_roster::takeRow(const wire::endpoint_row& row)
+void endpoint_registry::takeRow(const wire::endpoint_row& row)
 {
     const auto& report = row.report();
     auto found = m_endpoints.find(report.id());
@@ -91,7 +91,7 @@
     one.unconfirmedSince = {};
 }
 
-void endpoint_roster::onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>& others)
+void endpoint_registry::onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>& others)
 {
     for (auto& [id, one] : m_endpoints) {
         one.otherRequests = 0;
@@ -106,7 +106,7 @@
     }
 }
 
-void endpoint_roster::fillLoad(google::protobuf::RepeatedPtrField<wire::endpoint_load>& own) const
+void endpoint_registry::fillLoad(google::protobuf::RepeatedPtrField<wire::endpoint_load>& own) const
 {
     for (const auto& [id, one] : m_endpoints) {
         if (one.ownRequests == 0)
@@ -118,13 +118,13 @@
     }
 }
 
-void endpoint_roster::fillCalls(google::protobuf::RepeatedPtrField<wire::running_call>& calls) const
+void endpoint_registry::fillCalls(google::protobuf::RepeatedPtrField<wire::running_call>& calls) const
 {
     for (const auto& [id, call] : m_calls)
         *calls.Add() = call;
 }
 
-void endpoint_roster::beginCall(std::uint64_t id, const std::string& endpoint, std::uint64_t promptTokens, std::uint64_t outputTokens)
+void endpoint_registry::beginCall(std::uint64_t id, const std::string& endpoint, std::uint64_t promptTokens, std::uint64_t outputTokens)
 {
     auto& call = m_calls[id];
     call.set_id(id);
@@ -133,14 +133,14 @@
     call.set_output_tokens(outputTokens);
 }
 
-void endpoint_roster::noteGenerated(std::uint64_t id, std::uint64_t tokens)
+void endpoint_registry::noteGenerated(std::uint64_t id, std::uint64_t tokens)
 {
     auto found = m_calls.find(id);
     if (found != m_calls.end())
         found->second.set_generated(tokens);
 }
 
-bool endpoint_roster::hasAny(const std::string& service, wire::endpoint_stage stage) const
+bool endpoint_registry::hasAny(const std::string& service, wire::endpoint_stage stage) const
 {
     return std::any_of(m_endpoints.begin(), m_endpoints.end(), [&](const auto& item) {
         const auto& report = item.second.report;
@@ -148,7 +148,7 @@
     });
 }
 
-bool endpoint_roster::usable(const known_endpoint& one, const endpoint_query& query, time_point now) const
+bool endpoint_registry::usable(const known_endpoint& one, const endpoint_query& query, time_point now) const
 {
     const auto& report = one.report;
     if (report.service() != query.service || report.stage() != query.stage || report.state() != wire::ENDPOINT_SERVING)
@@ -163,12 +163,12 @@
     return after <= memoryShare * static_cast<double>(query.memoryTokens) || one.ownTokens + one.otherTokens == 0;
 }
 
-bool endpoint_roster::avoided(const known_endpoint& one, time_point now) const
+bool endpoint_registry::avoided(const known_endpoint& one, time_point now) const
 {
     return now < one.avoidUntil;
 }
 
-double endpoint_roster::cost(const known_endpoint& one, const endpoint_query& query)
+double endpoint_registry::cost(const known_endpoint& one, const endpoint_query& query)
 {
     double load = query.memoryTokens > 0 ? static_cast<double>(one.ownTokens + one.otherTokens) / static_cast<double>(query.memoryTokens)
                                          : loadOf(one.ownRequests + one.otherRequests, query.fullAt > 0 ? query.fullAt : one.report.slots());
@@ -176,7 +176,7 @@
     return load + failureCost * one.failures + cold;
 }
 
-const endpoint_roster::known_endpoint* endpoint_roster::bestOfFew(const std::vector<const known_endpoint*>& candidates, const endpoint_query& query)
+const endpoint_registry::known_endpoint* endpoint_registry::bestOfFew(const std::vector<const known_endpoint*>& candidates, const endpoint_query& query)
 {
     const known_endpoint* best = nullptr;
     double bestCost = 0;
@@ -193,7 +193,7 @@
     return best;
 }
 
-std::optional<picked_endpoint> endpoint_roster::pick(const endpoint_query& query)
+std::optional<picked_endpoint> endpoint_registry::pick(const endpoint_query& query)
 {
     auto now = m_clock.now();
     const auto& preferred = query.nearTo.empty() ? m_dataCentre : query.nearTo;
@@ -223,7 +223,7 @@
     return picked_endpoint { best->report.id(), best->report.address(), best->report.data_centre(), best->report.born_ms() };
 }
 
-std::optional<picked_endpoint> endpoint_roster::find(const std::string& id) const
+std::optional<picked_endpoint> endpoint_registry::find(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end() || found->second.report.state() != wire::ENDPOINT_SERVING)
@@ -232,7 +232,7 @@
     return picked_endpoint { report.id(), report.address(), report.data_centre(), report.born_ms() };
 }
 
-std::vector<std::string> endpoint_roster::avoided(const std::string& service) const
+std::vector<std::string> endpoint_registry::avoided(const std::string& service) const
 {
     auto now = m_clock.now();
     std::vector<std::string> ids;
@@ -243,13 +243,13 @@
     return ids;
 }
 
-bool endpoint_roster::failsNow(const std::string& id) const
+bool endpoint_registry::failsNow(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
     return found != m_endpoints.end() && (avoided(found->second, m_clock.now()) || found->second.failures > avoidedFailures);
 }
 
-void endpoint_roster::begin(const std::string& id, std::uint64_t tokens)
+void endpoint_registry::begin(const std::string& id, std::uint64_t tokens)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
@@ -258,7 +258,7 @@
     found->second.ownTokens += tokens;
 }
 
-void endpoint_roster::end(const std::string& id, std::uint64_t tokens)
+void endpoint_registry::end(const std::string& id, std::uint64_t tokens)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
@@ -269,7 +269,7 @@
     one.ownTokens -= std::min(one.ownTokens, tokens);
 }
 
-void endpoint_roster::judge(const std::string& id, endpoint_verdict verdict)
+void endpoint_registry::judge(const std::string& id, endpoint_verdict verdict)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
@@ -296,20 +296,20 @@
     one.avoidUntil = now + std::min(firstPause * (1 << doublings), longestPause);
 }
 
-void endpoint_roster::noteHeard(const std::string& id)
+void endpoint_registry::noteHeard(const std::string& id)
 {
     auto found = m_endpoints.find(id);
     if (found != m_endpoints.end())
         found->second.heardAt = m_clock.now();
 }
 
-time_point endpoint_roster::heardAt(const std::string& id) const
+time_point endpoint_registry::heardAt(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
     return found == m_endpoints.end() ? time_point {} : found->second.heardAt;
 }
 
-void endpoint_roster::noteLoad(const std::string& id, const load_report& load)
+void endpoint_registry::noteLoad(const std::string& id, const reported_load& load)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
--- a/Source/forwarding/endpoint_roster.h
+++ b/Source/forwarding/endpoint_registry.h
@@ -50,9 +50,9 @@
 /// another VM stands between a call and its endpoint, so placing goes on while any other process is away. Choosing the
 /// better of a few at random keeps many entries with the same old figures from all running to the same endpoint.
 /// Not thread-safe.
-class endpoint_roster final : public endpoint_listener {
+class endpoint_registry final : public endpoint_listener {
 public:
-    endpoint_roster(const clock_source& clock, std::string dataCentre, std::uint64_t seed);
+    endpoint_registry(const clock_source& clock, std::string dataCentre, std::uint64_t seed);
 
     void onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything) override;
     void onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>& others) override;
@@ -84,7 +84,7 @@
     void noteHeard(const std::string& id);
     /// When bytes last came from the endpoint; zero when none ever did.
     time_point heardAt(const std::string& id) const;
-    void noteLoad(const std::string& id, const load_report& load);
+    void noteLoad(const std::string& id, const reported_load& load);
     std::size_t size() const { return m_endpoints.size(); }
 
 private:
@@ -121,7 +121,7 @@
 /// Books a call on an endpoint for as long as it lives.
 class endpoint_booking {
 public:
-    endpoint_booking(endpoint_roster& roster, std::string id, std::uint64_t tokens)
+    endpoint_booking(endpoint_registry& roster, std::string id, std::uint64_t tokens)
         : m_roster(&roster)
         , m_id(std::move(id))
         , m_tokens(tokens)
@@ -133,7 +133,7 @@
     endpoint_booking& operator=(const endpoint_booking&) = delete;
 
 private:
-    endpoint_roster* m_roster;
+    endpoint_registry* m_roster;
     std::string m_id;
     std::uint64_t m_tokens;
 };
--- a/Source/forwarding/answer_head_writer.cpp
+++ b/Source/forwarding/response_writer.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/answer_head_writer.h"
+#include "forwarding/response_writer.h"
 
 #include <array>
 #include <boost/beast/core/string.hpp>
--- a/Source/forwarding/repeat_policy.cpp
+++ b/Source/forwarding/retry_policy.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/repeat_policy.h"
+#include "forwarding/retry_policy.h"
 
 namespace pistachiolatch {
 
--- a/Tests/Forwarding/ForwardingDecisionsTest.cpp
+++ b/Tests/Forwarding/ForwardingDecisionsTest.cpp
@@ -1,6 +1,6 @@
-#include "forwarding/endpoint_roster.h"
+#include "forwarding/endpoint_registry.h"
 #include "forwarding/event_splitter.h"
-#include "forwarding/repeat_policy.h"
+#include "forwarding/retry_policy.h"
 #include "forwarding/shared_retry_budget.h"
 #include "forwarding/stall_policy.h"
 #include <catch2/catch.hpp>
@@ -102,7 +102,7 @@
     constexpr double toleratedSlack = 52;
     manual_clock_source clock;
     std::vector<shared_retry_budget> budgets(entries, shared_retry_budget({ toleratedRatio / 2, toleratedSlack / 2, milliseconds(10000) }));
-    std::vector<endpoint_roster> rosters;
+    std::vector<endpoint_registry> rosters;
     for (unsigned i = 0; i < entries; ++i)
         rosters.emplace_back(clock, "a", i);
     google::protobuf::RepeatedPtrField<wire::endpoint_row> rows;
@@ -135,7 +135,7 @@
 TEST_CASE("An entry that chooses by itself puts few calls before one endpoint")
 {
     manual_clock_source clock;
-    endpoint_roster roster(clock, "a", 1);
+    endpoint_registry roster(clock, "a", 1);
     google::protobuf::RepeatedPtrField<wire::endpoint_row> rows;
     *rows.Add() = rowOf("reader", "a");
     roster.onEndpoints(rows, true);
@@ -176,7 +176,7 @@
 TEST_CASE("The own data centre goes first until its endpoints are loaded")
 {
     manual_clock_source clock;
-    endpoint_roster roster(clock, "a", 7);
+    endpoint_registry roster(clock, "a", 7);
     roster.onEndpoints(rowsOf({ rowOf("near", "a"), rowOf("far", "b") }), true);
     CHECK(roster.pick(queryOf("app"))->id == "near");
     for (int i = 0; i < 4; ++i)
@@ -191,7 +191,7 @@
 TEST_CASE("A lost endpoint is left alone until it starts again")
 {
     manual_clock_source clock;
-    endpoint_roster roster(clock, "a", 7);
+    endpoint_registry roster(clock, "a", 7);
     roster.onEndpoints(rowsOf({ rowOf("near", "a"), rowOf("far", "b") }), true);
     roster.judge("near", endpoint_verdict::Lost);
     CHECK(roster.pick(queryOf("app"))->id == "far");
@@ -205,7 +205,7 @@
 TEST_CASE("An endpoint that a new leader doesn't confirm is dropped after a while, and an older row changes nothing")
 {
     manual_clock_source clock;
-    endpoint_roster roster(clock, "a", 7);
+    endpoint_registry roster(clock, "a", 7);
     roster.onEndpoints(rowsOf({ rowOf("one", "a", 5), rowOf("two", "a", 5) }), true);
     roster.onEndpoints(rowsOf({ rowOf("one", "a", 5) }), true);
     auto gone = rowOf("one", "a", 4);
