--- a/Source/forwarding/call_forwarder.h
+++ b/Source/forwarding/call_forwarder.h
@@ -13,182 +13,185 @@
 
 namespace pistachiolatch {
 
-/// What all calls of an entry share. The references outlive every call.
+/// State shared by all calls of an entry. The references outlive every call.
 struct forwarding_context {
     boost::asio::io_context& context;
     const clock_source& clock;
     metrics& counters;
     control_link& link;
-    token_account& tokens;
-    endpoint_registry& roster;
+    token_account& tokenAccount;
+    endpoint_registry& endpoints;
     connection_pool& pool;
-    shared_retry_budget& budget;
-    output_forecast& outputs;
+    shared_retry_budget& retryBudget;
+    output_forecast& outputForecast;
     std::mt19937_64& random;
-    /// Whether the entry is shutting down; answers then close their connections.
+    /// Whether the entry is shutting down; responses then close their connections.
     const bool& draining;
 };
 
-/// One call from admission to its end. Answers its caller exactly once, or breaks the connection where a stream can't
-/// be finished, so that nobody takes a part for the whole.
-/// Each co_await stands in a statement of its own: GCC 12 destroys temporaries of a condition that awaits twice.
+/// Processes one call from admission to completion. Sends exactly one response, or closes the connection if a stream
+/// can't be completed, so that the caller doesn't take a truncated response for a complete one.
+/// Each co_await is a statement of its own: GCC 12 destroys temporaries of a condition that awaits twice.
 /// Used on the context's thread.
-template <call_codec Dialect>
-class forward_call {
+template <call_codec Codec>
+class call_forwarder {
 public:
-    forward_call(forwarding_context& shared, std::shared_ptr<caller_channel> caller, caller_request request);
-    ~forward_call();
-    forward_call(const forward_call&) = delete;
-    forward_call& operator=(const forward_call&) = delete;
+    call_forwarder(forwarding_context& shared, std::shared_ptr<caller_connection> caller, caller_request request);
+    ~call_forwarder();
+    call_forwarder(const call_forwarder&) = delete;
+    call_forwarder& operator=(const call_forwarder&) = delete;
 
-    /// Serves the call. Returns whether the connection can carry another.
+    /// Runs the call. Returns whether the connection can carry another one.
     task_of<bool> run();
-    /// Refuses the call because the entry ends before its answer might. The caller's next attempt reaches another entry.
-    task_of<void> refuseAtShutdown();
-    const std::string& requestId() const { return m_head.id; }
+    /// Rejects the call because the entry may stop before the response is complete. The caller's next attempt reaches
+    /// another entry.
+    task_of<void> rejectForShutdown();
+    const std::string& requestId() const { return m_metadata.id; }
     /// Logs the end of a call that is interrupted because the process stops.
-    void cutAtShutdown();
+    void handleShutdown();
 
 private:
     struct prefill_result {
         std::string endpointAddress;
         std::string dataCentre;
         std::string handle;
-        time_point at;
+        time_point completedAt;
     };
 
-    /// What came of asking an endpoint to read a prompt.
-    struct prefill_try {
+    /// Result of a prefill request.
+    struct prefill_attempt {
         std::optional<std::string> handle;
-        /// Whether the question left for the endpoint.
+        /// Whether the request was sent to the endpoint.
         bool sent = false;
     };
 
-    /// The endpoints of one try at a model call.
-    struct model_places {
-        picked_endpoint decode;
-        std::optional<picked_endpoint> prefill;
-        /// Whether the leader chose; it then knows better than this entry whether a prefill endpoint is worth its queue.
-        bool planned = false;
-        /// Names this try towards the planner.
+    /// The endpoints selected for one attempt at a model call.
+    struct model_placement {
+        selected_endpoint decode;
+        std::optional<selected_endpoint> prefill;
+        /// Whether the leader selected the endpoints. Its choice of a prefill endpoint, or of none, is then followed: it
+        /// knows the queues better than this entry.
+        bool plannedByLeader = false;
+        /// Identifies the attempt to the planner.
         std::uint64_t callId = 0;
     };
 
     std::optional<error_response> admit();
-    /// Returns the refusal if the request is blocked because endpoints crash while running it.
-    std::optional<error_response> refusedAsPoison();
+    /// Returns an error if the request is blocked because endpoints crash while running it.
+    std::optional<error_response> checkPoisonBlock();
     /// Hash of the request's organisation, method, host, path and body, computed on first use.
     std::uint64_t fingerprint();
     /// Reports a broken connection of the last attempt, if any, to the leader and waits for the request's crash count.
     task_of<void> reportCrash();
     /// Records for reportCrash() that the connection to an endpoint broke while it had the request.
-    void noteBrokenConnection(const picked_endpoint& endpoint);
-    task_of<token_verdict> takeTokens();
-    task_of<void> runPlain();
-    task_of<void> runModel();
-    task_of<std::optional<model_places>> awaitPlaces();
-    task_of<std::optional<wire::engine_plan_reply>> planByLeader();
-    endpoint_query decodeQuery() const;
-    std::uint64_t expectedOutput() const;
-    milliseconds patienceForPlaces() const;
-    wire::engine_plan_request planQuestion(std::uint64_t callId, milliseconds patience) const;
-    void noteEvents(std::string_view piece);
-    quiet_stream quietStream(const std::string& endpointId) const;
-    void watchQuiet(picked_endpoint endpoint, milliseconds delay);
-    void seekOtherPlaces(const picked_endpoint& endpoint);
-    std::optional<model_places> placesOfPlan(const wire::engine_plan_reply& plan, std::uint64_t callId) const;
-    std::optional<model_places> placesElsewhere(const std::optional<wire::engine_plan_reply>& plan, const picked_endpoint& endpoint, std::uint64_t callId);
-    void leaveFor(const model_places& places, const picked_endpoint& endpoint);
-    void noteMoved(const std::string& endpointId);
-    /// Notes what a send tells of its endpoint, here and, for model calls, with the release that the leader learns from.
-    void judge(const std::string& endpointId, endpoint_verdict verdict);
-    task_of<attempt_end> serveModelAt(const model_places& places);
-    /// Whether the prompt can be read soon, where this entry chooses by itself.
-    bool mayBeReadAlone(const picked_endpoint& decode);
-    task_of<void> ensurePrefill(const model_places& places);
-    std::optional<picked_endpoint> pickPrefill(const model_places& places, const std::set<std::string>& tried);
-    task_of<prefill_try> prefillAt(const picked_endpoint& endpoint);
-    task_of<attempt_end> sendTo(const picked_endpoint& endpoint, attempt_options orders);
-    task_of<attempt_end> receive(const picked_endpoint& endpoint);
-    task_of<attempt_end> passStream(const picked_endpoint& endpoint, const response_metadata& answer);
-    task_of<attempt_end> keepSpare(const picked_endpoint& endpoint, const response_metadata& answer);
-    task_of<attempt_end> passWhole(const picked_endpoint& endpoint, const response_metadata& answer);
-    task_of<call_failure> readOwnHead(response_metadata& answer);
-    task_of<std::shared_ptr<endpoint_connection>> open(const picked_endpoint& endpoint, bool mayBeRepeated);
-    bool tryAgainAfter(attempt_end end, const std::string& endpointId);
-    task_of<void> conclude(reason whyNotServed);
-    task_of<void> refuse(error_response refusal);
+    void recordBrokenConnection(const selected_endpoint& endpoint);
+    task_of<token_verdict> acquireTokens();
+    task_of<void> runServiceCall();
+    task_of<void> runModelCall();
+    task_of<std::optional<model_placement>> awaitPlacement();
+    task_of<std::optional<wire::engine_plan_reply>> requestPlan();
+    endpoint_query makeDecodeQuery() const;
+    std::uint64_t estimateOutputTokens() const;
+    milliseconds placementTimeout() const;
+    wire::engine_plan_request makePlanRequest(std::uint64_t callId, milliseconds timeout) const;
+    void countEvents(std::string_view chunk);
+    idle_stream measureIdleTime(const std::string& endpointId) const;
+    void scheduleStallCheck(selected_endpoint endpoint, milliseconds delay);
+    void requestMigration(const selected_endpoint& endpoint);
+    std::optional<model_placement> placementFromPlan(const wire::engine_plan_reply& plan, std::uint64_t callId) const;
+    std::optional<model_placement> findAlternativePlacement(const std::optional<wire::engine_plan_reply>& plan, const selected_endpoint& endpoint, std::uint64_t callId);
+    void migrateTo(const model_placement& placement, const selected_endpoint& endpoint);
+    void recordMigration(const std::string& endpointId);
+    /// Records an outcome in the registry and, for model calls, in the release message that reports it to the leader.
+    void recordOutcome(const std::string& endpointId, endpoint_outcome outcome);
+    task_of<attempt_outcome> attemptModelCall(const model_placement& placement);
+    /// Whether the prefill can start soon if this entry selects the endpoints itself.
+    bool canPrefillSoon(const selected_endpoint& decode);
+    task_of<void> ensurePrefill(const model_placement& placement);
+    std::optional<selected_endpoint> selectPrefillEndpoint(const model_placement& placement, const std::set<std::string>& tried);
+    task_of<prefill_attempt> requestPrefill(const selected_endpoint& endpoint);
+    task_of<attempt_outcome> sendAttempt(const selected_endpoint& endpoint, attempt_options options);
+    task_of<attempt_outcome> receiveResponse(const selected_endpoint& endpoint);
+    task_of<attempt_outcome> forwardStream(const selected_endpoint& endpoint, const response_metadata& response);
+    task_of<attempt_outcome> storeFallbackResponse(const selected_endpoint& endpoint, const response_metadata& response);
+    task_of<attempt_outcome> forwardCompleteResponse(const selected_endpoint& endpoint, const response_metadata& response);
+    task_of<call_failure> readMatchingHead(response_metadata& response);
+    task_of<std::shared_ptr<endpoint_connection>> openConnection(const selected_endpoint& endpoint, bool idempotent);
+    bool prepareRetry(attempt_outcome outcome, const std::string& endpointId);
+    task_of<void> finishUnanswered(reason failureCause);
+    task_of<void> sendErrorResponse(error_response error);
     void releasePrefill();
 
-    void startDeadline();
-    void armAttempt(milliseconds patience);
-    void disarmAttempt();
-    void cutCurrent();
-    void finishConnection(const std::string& endpointId, const response_metadata& answer);
-    void logEnd();
-    /// Logs why an answer is cut after it has begun, with the inputs to that decision.
-    void logCut(std::string_view why) const;
+    void startDeadlineTimer();
+    void startAttemptTimer(milliseconds timeout);
+    void cancelAttemptTimer();
+    void closeCurrentConnection();
+    void releaseConnection(const std::string& endpointId, const response_metadata& response);
+    void logCallEnded();
+    /// Logs why a response that has started is cut off, with the inputs to that decision.
+    void logTruncation(std::string_view cause) const;
 
-    bool ended() const { return m_callerGone || m_deadlinePassed; }
-    bool idempotent() const { return m_route->kind == call_kind::Idempotent || resumable(); }
-    bool resumable() const { return m_route->kind == call_kind::Stream && m_route->resumable; }
-    milliseconds timeLeft() const { return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(m_endsAt - m_shared.clock.now())); }
+    bool isAborted() const { return m_callerGone || m_deadlinePassed; }
+    bool isIdempotent() const { return m_route->kind == call_kind::Idempotent || isResumable(); }
+    bool isResumable() const { return m_route->kind == call_kind::Stream && m_route->resumable; }
+    milliseconds timeLeft() const { return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(m_deadlineAt - m_shared.clock.now())); }
     milliseconds age() const { return std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_receivedAt); }
-    attempt_options ordersFor(const picked_endpoint& endpoint) const;
+    attempt_options makeAttemptOptions(const selected_endpoint& endpoint) const;
 
     forwarding_context& m_shared;
-    std::shared_ptr<caller_channel> m_caller;
+    std::shared_ptr<caller_connection> m_caller;
     caller_request m_request;
-    request_metadata m_head;
+    request_metadata m_metadata;
     time_point m_receivedAt;
-    time_point m_endsAt;
+    time_point m_deadlineAt;
     std::shared_ptr<const route_table> m_table;
     const route_config* m_route = nullptr;
     const organisation_config* m_organisation = nullptr;
     const service_config* m_service = nullptr;
     std::uint64_t m_tokens = 0;
-    std::shared_ptr<endpoint_connection> m_current;
+    std::shared_ptr<endpoint_connection> m_connection;
     boost::asio::steady_timer m_deadlineTimer;
     boost::asio::steady_timer m_attemptTimer;
-    std::uint64_t m_attempt = 0;
+    std::uint64_t m_attemptNumber = 0;
     bool m_attemptExpired = false;
     bool m_callerGone = false;
     bool m_deadlinePassed = false;
-    bool m_answerBegun = false;
+    bool m_responseStarted = false;
     bool m_keepAlive = true;
-    unsigned m_sends = 0;
-    unsigned m_mayHaveRunAt = 0;
-    std::set<std::string> m_tried;
-    std::string m_endpoints;
+    unsigned m_sendCount = 0;
+    unsigned m_possibleRuns = 0;
+    std::set<std::string> m_triedEndpoints;
+    std::string m_endpointIds;
     std::optional<prefill_result> m_prefill;
-    bool m_firstPrefillDone = false;
-    /// The prefill endpoint that last read the prompt; empty while decode endpoints read it.
-    std::string m_promptReadAt;
-    milliseconds m_promptReadIn { 0 };
-    event_splitter m_events;
-    /// An endpoint's own error, kept while another endpoint is tried: where none can be, it is the caller's answer.
-    std::string m_spareAnswer;
-    unsigned m_spareStatus = 0;
+    bool m_hasPrefilled = false;
+    /// The endpoint of the last successful prefill; empty if decode endpoints process the prompt themselves.
+    std::string m_prefillEndpointId;
+    milliseconds m_prefillDuration { 0 };
+    event_splitter m_eventSplitter;
+    /// An endpoint's error response, sent to the caller if no other endpoint can serve the call.
+    std::string m_fallbackResponse;
+    unsigned m_fallbackStatus = 0;
     unsigned m_status = 0;
     std::string m_outcome;
-    milliseconds m_firstPiece { -1 };
-    /// The call's name towards the planner, the events passed on, and when the endpoint at hand sent its first.
+    milliseconds m_firstEventLatency { -1 };
+    /// Identifies the attempt to the planner.
     std::uint64_t m_callId = 0;
-    std::uint64_t m_eventsPassed = 0;
-    std::uint64_t m_eventsHere = 0;
-    time_point m_generatingSince {};
-    /// What this try told of engines' speed and health.
-    call_figures m_figures;
+    std::uint64_t m_eventsForwarded = 0;
+    /// Events of the current attempt, and when its first one arrived.
+    std::uint64_t m_endpointEvents = 0;
+    time_point m_generationStartedAt {};
+    /// Speed and health of engines measured by the current attempt, reported with its release.
+    call_figures m_measurements;
     engine_outcomes m_outcomes;
-    /// Since when the stream's next bytes are awaited; zero while a slow caller holds it back.
-    time_point m_quietSince {};
+    /// Since when the stream's next data is awaited; zero while it is blocked by a slow caller.
+    time_point m_waitingSince {};
     milliseconds m_longestPause { 0 };
-    /// Where a stream that stands still goes on; its share of the retry budget is taken.
-    std::optional<model_places> m_nextPlaces;
-    /// Whether the endpoint that it left was alive, so that nothing is held against it.
-    bool m_leftLive = false;
+    /// Target of the migration of a stalled stream, which has been charged to the retry budget.
+    std::optional<model_placement> m_nextPlacement;
+    /// Whether the stream was migrated away from a live endpoint, which is not counted as a failure of the endpoint.
+    bool m_leftAliveEndpoint = false;
     milliseconds m_retryAfter { 0 };
-    /// Why the call is not sent again; None while it may be.
+    /// Why the call is not retried; None while it may be.
     no_retry_reason m_noRetryReason = no_retry_reason::None;
     /// Duration of the last wait for endpoints.
     milliseconds m_endpointWait { 0 };
@@ -197,7 +200,7 @@
     bool m_endLogged = false;
     std::optional<std::uint64_t> m_fingerprint;
     /// The endpoint whose connection broke, until it is reported.
-    std::optional<picked_endpoint> m_brokenEndpoint;
+    std::optional<selected_endpoint> m_brokenEndpoint;
     unsigned m_crashReports = 0;
     std::uint32_t m_crashes = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/Source/forwarding/call_forwarder_responses.h
+++ b/Source/forwarding/call_forwarder_responses.h
@@ -1,5 +1,5 @@
 #pragma once
-// How an endpoint's answer is read, judged and passed on whole. Included by forward_call.h alone.
+// Reading, validation and forwarding of complete responses. Included only by call_forwarder.h.
 #include "forwarding/call_forwarder.h"
 #include "forwarding/call_forwarder_common.h"
 #include <algorithm>
@@ -7,122 +7,123 @@
 
 namespace pistachiolatch {
 
-template <call_codec Dialect>
-task_of<call_failure> forward_call<Dialect>::readOwnHead(response_metadata& answer)
+template <call_codec Codec>
+task_of<call_failure> call_forwarder<Codec>::readMatchingHead(response_metadata& response)
 {
-    bool bodyless = m_request.method() == boost::beast::http::verb::head;
+    bool noBody = m_request.method() == boost::beast::http::verb::head;
     for (int stray = 0;; ++stray) {
-        auto failed = co_await m_current->readHead(bodyless);
-        if (failed != call_failure::None)
-            co_return failed;
-        answer = Dialect::parseResponse(m_current->fields());
-        if (answer.requestId.empty() || answer.requestId == m_head.id)
+        auto failure = co_await m_connection->readResponseHead(noBody);
+        if (failure != call_failure::None)
+            co_return failure;
+        response = Codec::parseResponse(m_connection->fields());
+        if (response.requestId.empty() || response.requestId == m_metadata.id)
             co_return call_failure::None;
-        // A late answer to an earlier request of this connection; the one that is due follows it.
+        // A late response to an earlier request on this connection; the expected one follows.
         m_shared.counters.count("stray_answer");
-        std::string dropped;
-        if (stray == forwarding_detail::mostStrayAnswers || !answer.sealed)
+        std::string discarded;
+        if (stray == forwarding_detail::maxStrayResponses || !response.sealed)
             co_return call_failure::Broken;
-        failed = co_await m_current->readRest(dropped, forwarding_detail::mostAnswerBytes);
-        if (failed != call_failure::None)
-            co_return failed;
+        failure = co_await m_connection->readRemainingBody(discarded, forwarding_detail::maxResponseBytes);
+        if (failure != call_failure::None)
+            co_return failure;
     }
 }
 
-template <call_codec Dialect>
-task_of<attempt_end> forward_call<Dialect>::receive(const picked_endpoint& endpoint)
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::receiveResponse(const selected_endpoint& endpoint)
 {
-    response_metadata answer;
-    auto failed = co_await readOwnHead(answer);
-    if (failed != call_failure::None) {
-        if (!ended())
-            judge(endpoint.id, endpoint_verdict::Lost);
-        noteBrokenConnection(endpoint);
-        co_return attempt_end::MayHaveRun;
+    response_metadata response;
+    auto failure = co_await readMatchingHead(response);
+    if (failure != call_failure::None) {
+        if (!isAborted())
+            recordOutcome(endpoint.id, endpoint_outcome::Unreachable);
+        recordBrokenConnection(endpoint);
+        co_return attempt_outcome::MayHaveRun;
     }
-    auto status = m_current->status();
-    if (answer.load)
-        m_shared.roster.noteLoad(endpoint.id, *answer.load);
+    auto status = m_connection->status();
+    if (response.load)
+        m_shared.endpoints.updateLoad(endpoint.id, *response.load);
     constexpr unsigned misdirected = 421;
-    if (answer.guaranteedNotRun || status == misdirected) {
-        std::string dropped;
-        failed = co_await m_current->readRest(dropped, forwarding_detail::mostAnswerBytes);
-        if (failed == call_failure::None)
-            finishConnection(endpoint.id, answer);
-        // Another endpoint has the address by now; until its announcement comes, this one is as good as lost.
-        judge(endpoint.id, status == misdirected ? endpoint_verdict::Lost : endpoint_verdict::Refused);
-        co_return attempt_end::RefusedUnrun;
+    if (response.guaranteedNotRun || status == misdirected) {
+        std::string discarded;
+        failure = co_await m_connection->readRemainingBody(discarded, forwarding_detail::maxResponseBytes);
+        if (failure == call_failure::None)
+            releaseConnection(endpoint.id, response);
+        // 421 means that another endpoint has taken over the address; the expected one is unreachable until it
+        // announces its new address.
+        recordOutcome(endpoint.id, status == misdirected ? endpoint_outcome::Unreachable : endpoint_outcome::Refused);
+        co_return attempt_outcome::RefusedNotRun;
     }
-    bool success = status >= 200 && status < 300;
-    bool trusted = answer.sealed && !answer.contentEncoded && answer.requestId == m_head.id;
-    // These statuses tell the caller that its call has not run; without the endpoint's word for it that would be a guess.
-    constexpr std::array promises { 408U, 429U, 503U };
-    bool unprovenPromise = std::find(promises.begin(), promises.end(), status) != promises.end();
-    if ((success && !trusted) || unprovenPromise || answer.contentEncoded) {
-        judge(endpoint.id, endpoint_verdict::Failed);
-        co_return attempt_end::MayHaveRun;
+    bool isSuccess = status >= 200 && status < 300;
+    bool isVerified = response.sealed && !response.contentEncoded && response.requestId == m_metadata.id;
+    // These statuses tell the caller that its call has not run, which only the endpoint's guarantee could prove.
+    constexpr std::array notRunStatuses { 408U, 429U, 503U };
+    bool impliesNotRun = std::find(notRunStatuses.begin(), notRunStatuses.end(), status) != notRunStatuses.end();
+    if ((isSuccess && !isVerified) || impliesNotRun || response.contentEncoded) {
+        recordOutcome(endpoint.id, endpoint_outcome::Failed);
+        co_return attempt_outcome::MayHaveRun;
     }
-    bool serverError = status >= 500;
-    bool mayGoElsewhere = idempotent() && m_mayHaveRunAt < m_route->mostEndpoints && !m_answerBegun;
-    if (serverError)
-        judge(endpoint.id, endpoint_verdict::Failed);
-    if (serverError && mayGoElsewhere)
-        co_return co_await keepSpare(endpoint, answer);
-    if (serverError && m_answerBegun)
-        co_return attempt_end::MayHaveRun;
-    if (m_answerBegun && !success)
-        co_return attempt_end::MayHaveRun;
-    if (success && m_route->kind == call_kind::Stream)
-        co_return co_await passStream(endpoint, answer);
-    co_return co_await passWhole(endpoint, answer);
+    bool isServerError = status >= 500;
+    bool canRetryElsewhere = isIdempotent() && m_possibleRuns < m_route->mostEndpoints && !m_responseStarted;
+    if (isServerError)
+        recordOutcome(endpoint.id, endpoint_outcome::Failed);
+    if (isServerError && canRetryElsewhere)
+        co_return co_await storeFallbackResponse(endpoint, response);
+    if (isServerError && m_responseStarted)
+        co_return attempt_outcome::MayHaveRun;
+    if (m_responseStarted && !isSuccess)
+        co_return attempt_outcome::MayHaveRun;
+    if (isSuccess && m_route->kind == call_kind::Stream)
+        co_return co_await forwardStream(endpoint, response);
+    co_return co_await forwardCompleteResponse(endpoint, response);
 }
 
-template <call_codec Dialect>
-task_of<attempt_end> forward_call<Dialect>::keepSpare(const picked_endpoint& endpoint, const response_metadata& answer)
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::storeFallbackResponse(const selected_endpoint& endpoint, const response_metadata& response)
 {
     std::string body;
-    auto failed = co_await m_current->readRest(body, forwarding_detail::mostAnswerBytes);
-    if (failed != call_failure::None || !answer.sealed)
-        co_return attempt_end::MayHaveRun;
-    m_spareStatus = m_current->status();
-    // The call may wait for another endpoint through the start of a shutdown, so the connection ends with this answer.
-    m_spareAnswer = encodeAnswerHead(m_spareStatus, m_current->reasonPhrase(), m_current->fields(), { body.size(), true }) + body;
-    finishConnection(endpoint.id, answer);
-    co_return attempt_end::MayHaveRun;
+    auto failure = co_await m_connection->readRemainingBody(body, forwarding_detail::maxResponseBytes);
+    if (failure != call_failure::None || !response.sealed)
+        co_return attempt_outcome::MayHaveRun;
+    m_fallbackStatus = m_connection->status();
+    // A shutdown may start while the call waits for another endpoint, so this response always closes the connection.
+    m_fallbackResponse = encodeResponseHead(m_fallbackStatus, m_connection->reasonPhrase(), m_connection->fields(), { body.size(), true }) + body;
+    releaseConnection(endpoint.id, response);
+    co_return attempt_outcome::MayHaveRun;
 }
 
-template <call_codec Dialect>
-task_of<attempt_end> forward_call<Dialect>::passWhole(const picked_endpoint& endpoint, const response_metadata& answer)
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::forwardCompleteResponse(const selected_endpoint& endpoint, const response_metadata& response)
 {
     std::string body;
-    auto status = m_current->status();
-    auto failed = co_await m_current->readRest(body, forwarding_detail::mostAnswerBytes);
-    if (failed != call_failure::None) {
-        if (!ended())
-            judge(endpoint.id, endpoint_verdict::Failed);
-        noteBrokenConnection(endpoint);
-        co_return attempt_end::MayHaveRun;
+    auto status = m_connection->status();
+    auto failure = co_await m_connection->readRemainingBody(body, forwarding_detail::maxResponseBytes);
+    if (failure != call_failure::None) {
+        if (!isAborted())
+            recordOutcome(endpoint.id, endpoint_outcome::Failed);
+        recordBrokenConnection(endpoint);
+        co_return attempt_outcome::MayHaveRun;
     }
     if (status < 500)
-        judge(endpoint.id, endpoint_verdict::Good);
+        recordOutcome(endpoint.id, endpoint_outcome::Succeeded);
     m_keepAlive = m_keepAlive && !m_shared.draining;
-    auto bytes = encodeAnswerHead(status, m_current->reasonPhrase(), m_current->fields(), { body.size(), !m_keepAlive });
-    finishConnection(endpoint.id, answer);
-    m_answerBegun = true;
+    auto bytes = encodeResponseHead(status, m_connection->reasonPhrase(), m_connection->fields(), { body.size(), !m_keepAlive });
+    releaseConnection(endpoint.id, response);
+    m_responseStarted = true;
     m_status = status;
     m_outcome = "answered";
     bytes += body;
     bool written = co_await m_caller->write(std::move(bytes));
     m_callerGone = m_callerGone || !written;
-    co_return attempt_end::Answered;
+    co_return attempt_outcome::Completed;
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::finishConnection(const std::string& endpointId, const response_metadata& answer)
+template <call_codec Codec>
+void call_forwarder<Codec>::releaseConnection(const std::string& endpointId, const response_metadata& response)
 {
-    auto connection = std::exchange(m_current, nullptr);
-    if (connection->reusable())
-        m_shared.pool.put(endpointId, std::move(connection), answer.keepAlive);
+    auto connection = std::exchange(m_connection, nullptr);
+    if (connection->isReusable())
+        m_shared.pool.release(endpointId, std::move(connection), response.keepAlive);
     else
         connection->close();
 }
--- a/Source/forwarding/call_forwarder_streams.h
+++ b/Source/forwarding/call_forwarder_streams.h
@@ -1,180 +1,180 @@
 #pragma once
-// How a stream of events is passed on, and when it goes on at another endpoint. Included by forward_call.h alone.
+// Forwarding of event streams and their migration to other endpoints. Included only by call_forwarder.h.
 #include "forwarding/call_forwarder.h"
 #include "forwarding/call_forwarder_models.h"
 
 namespace pistachiolatch {
 
 namespace forwarding_detail {
-    /// Pause before another place is looked for again, for a stream that stands still; calls end more often than that.
-    constexpr milliseconds seekPause { 150 };
+    /// Interval between migration attempts of a stalled stream. Calls complete, and free capacity, more often than this.
+    constexpr milliseconds migrationRetryInterval { 150 };
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::noteEvents(std::string_view piece)
+template <call_codec Codec>
+void call_forwarder<Codec>::countEvents(std::string_view chunk)
 {
     constexpr std::string_view eventEnd = "\n\n";
     std::uint64_t count = 0;
-    for (auto at = piece.find(eventEnd); at != std::string_view::npos; at = piece.find(eventEnd, at + eventEnd.size()))
+    for (auto at = chunk.find(eventEnd); at != std::string_view::npos; at = chunk.find(eventEnd, at + eventEnd.size()))
         ++count;
     if (count == 0)
         return;
-    if (m_generatingSince == time_point {}) {
-        m_generatingSince = m_shared.clock.now();
+    if (m_generationStartedAt == time_point {}) {
+        m_generationStartedAt = m_shared.clock.now();
         if (m_prefill)
-            m_figures.firstEvent = std::chrono::duration_cast<milliseconds>(m_generatingSince - m_prefill->at);
+            m_measurements.firstEvent = std::chrono::duration_cast<milliseconds>(m_generationStartedAt - m_prefill->completedAt);
     }
-    m_eventsHere += count;
-    m_eventsPassed += count;
-    m_shared.roster.noteGenerated(m_callId, m_eventsPassed * m_service->engine->tokensPerEvent);
+    m_endpointEvents += count;
+    m_eventsForwarded += count;
+    m_shared.endpoints.updateGeneratedTokens(m_callId, m_eventsForwarded * m_service->engine->tokensPerEvent);
 }
 
-template <call_codec Dialect>
-quiet_stream forward_call<Dialect>::quietStream(const std::string& endpointId) const
+template <call_codec Codec>
+idle_stream call_forwarder<Codec>::measureIdleTime(const std::string& endpointId) const
 {
     auto now = m_shared.clock.now();
     auto since = [now](time_point then) { return std::chrono::duration_cast<milliseconds>(now - then); };
-    auto quiet = m_quietSince == time_point {} ? milliseconds(0) : since(m_quietSince);
-    return { m_route->latencyTarget, m_route->gapTarget, quiet, since(m_shared.roster.heardAt(endpointId)) };
+    auto idleTime = m_waitingSince == time_point {} ? milliseconds(0) : since(m_waitingSince);
+    return { m_route->latencyTarget, m_route->gapTarget, idleTime, since(m_shared.endpoints.lastActivityAt(endpointId)) };
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::watchQuiet(picked_endpoint endpoint, milliseconds delay)
+template <call_codec Codec>
+void call_forwarder<Codec>::scheduleStallCheck(selected_endpoint endpoint, milliseconds delay)
 {
     m_attemptTimer.expires_after(delay);
-    m_attemptTimer.async_wait([this, attempt = m_attempt, alive = m_alive, endpoint = std::move(endpoint)](boost::system::error_code error) {
-        if (error || !*alive || attempt != m_attempt || ended())
+    m_attemptTimer.async_wait([this, attempt = m_attemptNumber, alive = m_alive, endpoint = std::move(endpoint)](boost::system::error_code error) {
+        if (error || !*alive || attempt != m_attemptNumber || isAborted())
             return;
-        auto stream = quietStream(endpoint.id);
-        auto allowed = quietAllowed(stream);
-        if (stream.quiet < allowed)
-            watchQuiet(endpoint, allowed - stream.quiet);
+        auto stream = measureIdleTime(endpoint.id);
+        auto allowed = stallTimeout(stream);
+        if (stream.idleTime < allowed)
+            scheduleStallCheck(endpoint, allowed - stream.idleTime);
         else
-            seekOtherPlaces(endpoint);
+            requestMigration(endpoint);
     });
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::seekOtherPlaces(const picked_endpoint& endpoint)
+template <call_codec Codec>
+void call_forwarder<Codec>::requestMigration(const selected_endpoint& endpoint)
 {
-    // The stream stays where it is until a place elsewhere is certain. Cut first, it ended for its caller wherever no
-    // other endpoint had room, though its own would have gone on with it.
-    auto callId = m_shared.roster.nextCallId();
-    auto question = planQuestion(callId, milliseconds(0));
-    question.add_exclude(endpoint.id);
-    m_shared.link.plan(std::move(question), [this, attempt = m_attempt, since = m_quietSince, alive = m_alive, endpoint, callId](std::optional<wire::engine_plan_reply> plan) {
-        // What the leader booked meanwhile is dropped with this entry's next list of running calls.
-        if (!*alive || attempt != m_attempt || ended())
+    // The stream is closed only once another endpoint has been selected. Otherwise it would end for its caller if no
+    // endpoint had capacity, although its own endpoint might have continued it.
+    auto callId = m_shared.endpoints.nextCallId();
+    auto planRequest = makePlanRequest(callId, milliseconds(0));
+    planRequest.add_exclude(endpoint.id);
+    m_shared.link.plan(std::move(planRequest), [this, attempt = m_attemptNumber, since = m_waitingSince, alive = m_alive, endpoint, callId](std::optional<wire::engine_plan_reply> plan) {
+        // The leader drops its reservation with this entry's next list of running calls.
+        if (!*alive || attempt != m_attemptNumber || isAborted())
             return;
-        auto places = since == m_quietSince ? placesElsewhere(plan, endpoint, callId) : std::nullopt;
-        if (places && m_shared.budget.tryAgain(m_service->name, m_shared.link.entries(), m_shared.clock.now())) {
-            leaveFor(*places, endpoint);
+        auto placement = since == m_waitingSince ? findAlternativePlacement(plan, endpoint, callId) : std::nullopt;
+        if (placement && m_shared.retryBudget.tryConsumeRetry(m_service->name, m_shared.link.entries(), m_shared.clock.now())) {
+            migrateTo(*placement, endpoint);
             return;
         }
         if (plan && !plan->full())
             m_shared.link.release({ callId, {}, {} });
-        watchQuiet(endpoint, forwarding_detail::seekPause);
+        scheduleStallCheck(endpoint, forwarding_detail::migrationRetryInterval);
     });
 }
 
-template <call_codec Dialect>
-std::optional<typename forward_call<Dialect>::model_places> forward_call<Dialect>::placesElsewhere(const std::optional<wire::engine_plan_reply>& plan, const picked_endpoint& endpoint, std::uint64_t callId)
+template <call_codec Codec>
+std::optional<typename call_forwarder<Codec>::model_placement> call_forwarder<Codec>::findAlternativePlacement(const std::optional<wire::engine_plan_reply>& plan, const selected_endpoint& endpoint, std::uint64_t callId)
 {
     if (plan && plan->full())
         return std::nullopt;
-    auto planned = plan ? placesOfPlan(*plan, callId) : std::nullopt;
+    auto planned = plan ? placementFromPlan(*plan, callId) : std::nullopt;
     if (planned)
         return planned;
-    auto query = decodeQuery();
+    auto query = makeDecodeQuery();
     query.exclude.insert(endpoint.id);
-    auto decode = m_shared.roster.pick(query);
+    auto decode = m_shared.endpoints.select(query);
     if (!decode)
         return std::nullopt;
-    return model_places { *decode, std::nullopt, false, callId };
+    return model_placement { *decode, std::nullopt, false, callId };
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::leaveFor(const model_places& places, const picked_endpoint& endpoint)
+template <call_codec Codec>
+void call_forwarder<Codec>::migrateTo(const model_placement& placement, const selected_endpoint& endpoint)
 {
-    auto stream = quietStream(endpoint.id);
-    logEvent("stream_moves", { { "request", m_head.id }, { "from", endpoint.id }, { "to", places.decode.id }, { "quiet_ms", stream.quiet.count() }, { "endpoint_quiet_ms", stream.endpointQuiet.count() }, { "events", m_eventsPassed } });
-    m_leftLive = endpointLives(stream);
-    m_nextPlaces = places;
+    auto stream = measureIdleTime(endpoint.id);
+    logEvent("stream_moves", { { "request", m_metadata.id }, { "from", endpoint.id }, { "to", placement.decode.id }, { "quiet_ms", stream.idleTime.count() }, { "endpoint_quiet_ms", stream.endpointIdleTime.count() }, { "events", m_eventsForwarded } });
+    m_leftAliveEndpoint = isEndpointAlive(stream);
+    m_nextPlacement = placement;
     m_attemptExpired = true;
-    cutCurrent();
+    closeCurrentConnection();
 }
 
-template <call_codec Dialect>
-void forward_call<Dialect>::noteMoved(const std::string& endpointId)
+template <call_codec Codec>
+void call_forwarder<Codec>::recordMigration(const std::string& endpointId)
 {
-    m_tried.insert(endpointId);
-    m_leftLive = false;
+    m_triedEndpoints.insert(endpointId);
+    m_leftAliveEndpoint = false;
     m_shared.counters.countRetry(reason::EndpointFailed);
 }
 
-template <call_codec Dialect>
-task_of<attempt_end> forward_call<Dialect>::passStream(const picked_endpoint& endpoint, const response_metadata& answer)
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::forwardStream(const selected_endpoint& endpoint, const response_metadata& response)
 {
-    disarmAttempt();
-    auto connection = m_current;
-    if (!m_answerBegun) {
+    cancelAttemptTimer();
+    auto connection = m_connection;
+    if (!m_responseStarted) {
         m_keepAlive = m_keepAlive && !m_shared.draining;
-        m_answerBegun = true;
+        m_responseStarted = true;
         m_status = connection->status();
-        auto head = encodeAnswerHead(m_status, connection->reasonPhrase(), connection->fields(), { std::nullopt, !m_keepAlive });
+        auto head = encodeResponseHead(m_status, connection->reasonPhrase(), connection->fields(), { std::nullopt, !m_keepAlive });
         bool written = co_await m_caller->write(std::move(head));
         if (!written) {
             m_callerGone = true;
-            co_return attempt_end::MayHaveRun;
+            co_return attempt_outcome::MayHaveRun;
         }
     }
-    if (resumable() && m_mayHaveRunAt < m_route->mostEndpoints)
-        watchQuiet(endpoint, quietAllowed(quietStream(endpoint.id)));
+    if (isResumable() && m_possibleRuns < m_route->mostEndpoints)
+        scheduleStallCheck(endpoint, stallTimeout(measureIdleTime(endpoint.id)));
     while (true) {
-        std::string piece;
-        m_quietSince = m_shared.clock.now();
-        auto failed = co_await connection->readPiece(piece);
-        if (failed != call_failure::None) {
-            if (!ended())
-                judge(endpoint.id, m_leftLive ? endpoint_verdict::Refused : endpoint_verdict::Lost);
-            noteBrokenConnection(endpoint);
-            co_return attempt_end::MayHaveRun;
+        std::string chunk;
+        m_waitingSince = m_shared.clock.now();
+        auto failure = co_await connection->readBodyChunk(chunk);
+        if (failure != call_failure::None) {
+            if (!isAborted())
+                recordOutcome(endpoint.id, m_leftAliveEndpoint ? endpoint_outcome::Refused : endpoint_outcome::Unreachable);
+            recordBrokenConnection(endpoint);
+            co_return attempt_outcome::MayHaveRun;
         }
-        m_longestPause = std::max(m_longestPause, std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_quietSince));
-        // While a slow caller holds back the stream, the endpoint is not the one that is quiet.
-        m_quietSince = time_point {};
-        m_shared.roster.noteHeard(endpoint.id);
-        bool last = connection->whole();
-        if (resumable()) {
-            m_events.feed(piece);
-            piece = m_events.takeWhole();
-            if (last)
-                piece += m_events.rest();
+        m_longestPause = std::max(m_longestPause, std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_waitingSince));
+        // While a slow caller blocks the stream, the endpoint is not stalled.
+        m_waitingSince = time_point {};
+        m_shared.endpoints.recordActivity(endpoint.id);
+        bool isLast = connection->isResponseComplete();
+        if (isResumable()) {
+            m_eventSplitter.append(chunk);
+            chunk = m_eventSplitter.takeCompleteEvents();
+            if (isLast)
+                chunk += m_eventSplitter.remainder();
         }
-        std::string out = piece.empty() ? std::string() : encodeChunk(piece);
-        if (last)
+        std::string out = chunk.empty() ? std::string() : encodeChunk(chunk);
+        if (isLast)
             out += encodeChunk({});
-        noteEvents(piece);
-        if (!piece.empty() && m_firstPiece < milliseconds(0)) {
-            m_firstPiece = age();
-            m_shared.counters.observe("first_event_seconds", m_firstPiece);
+        countEvents(chunk);
+        if (!chunk.empty() && m_firstEventLatency < milliseconds(0)) {
+            m_firstEventLatency = age();
+            m_shared.counters.observe("first_event_seconds", m_firstEventLatency);
         }
         bool written = true;
         if (!out.empty())
             written = co_await m_caller->write(std::move(out));
         if (!written) {
             m_callerGone = true;
-            co_return attempt_end::MayHaveRun;
+            co_return attempt_outcome::MayHaveRun;
         }
-        if (last)
+        if (isLast)
             break;
     }
     m_outcome = "answered";
-    judge(endpoint.id, endpoint_verdict::Good);
-    if (m_head.resumeAfterEventId.empty() && m_service->engine)
-        m_shared.outputs.learn(m_route->name, m_eventsPassed * m_service->engine->tokensPerEvent);
-    finishConnection(endpoint.id, answer);
-    co_return attempt_end::Answered;
+    recordOutcome(endpoint.id, endpoint_outcome::Succeeded);
+    if (m_metadata.resumeAfterEventId.empty() && m_service->engine)
+        m_shared.outputForecast.learn(m_route->name, m_eventsForwarded * m_service->engine->tokensPerEvent);
+    releaseConnection(endpoint.id, response);
+    co_return attempt_outcome::Completed;
 }
 
 } // namespace pistachiolatch
--- a/Source/forwarding/caller_connection.cpp
+++ b/Source/forwarding/caller_connection.cpp
@@ -11,7 +11,7 @@
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 }
 
-caller_channel::caller_channel(asio::ip::tcp::socket socket, const clock_source& clock)
+caller_connection::caller_connection(asio::ip::tcp::socket socket, const clock_source& clock)
     : m_socket(std::move(socket))
     , m_clock(clock)
 {
@@ -19,42 +19,42 @@
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
 }
 
-task_of<bool> caller_channel::write(std::string bytes)
+task_of<bool> caller_connection::write(std::string bytes)
 {
     auto self = shared_from_this();
-    m_writingSince = m_clock.now();
+    m_writeStartedAt = m_clock.now();
     auto [error, count] = co_await asio::async_write(m_socket, asio::buffer(bytes), asTuple);
-    m_writingSince = {};
+    m_writeStartedAt = {};
     co_return !error && !m_closed;
 }
 
-void caller_channel::watch(std::function<void()> gone)
+void caller_connection::watchDisconnect(std::function<void()> onDisconnect)
 {
-    m_gone = std::move(gone);
-    auto watch = ++m_watch;
+    m_onDisconnect = std::move(onDisconnect);
+    auto watchId = ++m_watchId;
     auto self = shared_from_this();
-    m_socket.async_wait(asio::socket_base::wait_read, [self, watch](boost::system::error_code error) {
-        if (watch != self->m_watch || self->m_closed || error == asio::error::operation_aborted)
+    m_socket.async_wait(asio::socket_base::wait_read, [self, watchId](boost::system::error_code error) {
+        if (watchId != self->m_watchId || self->m_closed || error == asio::error::operation_aborted)
             return;
         char byte = 0;
-        auto got = ::recv(self->m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        // Bytes to read are the caller's next request; only the end of the connection means that it has left.
-        bool left = error || got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-        if (left && self->m_gone)
-            std::exchange(self->m_gone, nullptr)();
+        auto received = ::recv(self->m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        // Readable bytes belong to the caller's next request; only an end of stream or an error is a disconnect.
+        bool disconnected = error || received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+        if (disconnected && self->m_onDisconnect)
+            std::exchange(self->m_onDisconnect, nullptr)();
     });
 }
 
-void caller_channel::endWatch()
+void caller_connection::stopWatching()
 {
-    ++m_watch;
-    m_gone = nullptr;
+    ++m_watchId;
+    m_onDisconnect = nullptr;
     boost::system::error_code ignored;
     if (!m_closed)
         m_socket.cancel(ignored);
 }
 
-void caller_channel::close()
+void caller_connection::close()
 {
     m_closed = true;
     boost::system::error_code ignored;
--- a/Source/forwarding/caller_connection.h
+++ b/Source/forwarding/caller_connection.h
@@ -7,32 +7,31 @@
 
 namespace pistachiolatch {
 
-/// One caller's connection as a call sees it: writes the answer and tells when the caller has left.
-/// Used on one thread.
-class caller_channel : public std::enable_shared_from_this<caller_channel> {
+/// The connection to a caller: writes responses and detects that the caller has disconnected. Used on one thread.
+class caller_connection : public std::enable_shared_from_this<caller_connection> {
 public:
-    caller_channel(boost::asio::ip::tcp::socket socket, const clock_source& clock);
+    caller_connection(boost::asio::ip::tcp::socket socket, const clock_source& clock);
 
     boost::asio::ip::tcp::socket& socket() { return m_socket; }
     boost::beast::flat_buffer& buffer() { return m_buffer; }
-    /// Writes bytes; returns false when the caller is gone. A slow caller holds back the endpoint's stream, so that
-    /// memory does not grow.
+    /// Writes bytes; returns false if the caller has disconnected. Completes only when all bytes are written, so a slow
+    /// caller exerts backpressure on the endpoint's stream and memory use stays bounded.
     task_of<bool> write(std::string bytes);
-    /// Calls back once if the caller closes its connection before the watch is ended.
-    void watch(std::function<void()> gone);
-    void endWatch();
+    /// Calls onDisconnect once if the caller closes its connection before stopWatching() is called.
+    void watchDisconnect(std::function<void()> onDisconnect);
+    void stopWatching();
     void close();
     bool isClosed() const { return m_closed; }
-    /// Since when a write has been under way; zero when none is.
-    time_point writingSince() const { return m_writingSince; }
+    /// Start of the write in progress; zero if there is none.
+    time_point writeStartedAt() const { return m_writeStartedAt; }
 
 private:
     boost::asio::ip::tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
     const clock_source& m_clock;
-    std::function<void()> m_gone;
-    std::uint64_t m_watch = 0;
-    time_point m_writingSince {};
+    std::function<void()> m_onDisconnect;
+    std::uint64_t m_watchId = 0;
+    time_point m_writeStartedAt {};
     bool m_closed = false;
 };
 
--- a/Source/forwarding/connection_pool.h
+++ b/Source/forwarding/connection_pool.h
@@ -5,8 +5,8 @@
 
 namespace pistachiolatch {
 
-/// Connections to endpoints that wait for their next call, by endpoint. The newest is used first, so that the others
-/// run into their idle time. Used on one thread.
+/// Idle connections by endpoint. The most recently used one is reused first, so that surplus connections reach their
+/// idle timeout. Used on one thread.
 class connection_pool {
 public:
     explicit connection_pool(const clock_source& clock)
@@ -14,13 +14,13 @@
     {
     }
 
-    /// A connection that can be used, or null. A call that must not run twice takes only one that was used a moment
-    /// ago: if the endpoint closes an idle connection just as the call goes out, nobody can tell whether it ran.
-    std::shared_ptr<endpoint_connection> take(const std::string& endpointId, bool mayBeRepeated);
-    /// Puts a reusable connection aside.
-    void put(const std::string& endpointId, std::shared_ptr<endpoint_connection> connection, std::optional<std::chrono::seconds> keepAlive);
-    /// Closes what has been idle for too long.
-    void dropStale();
+    /// Returns a usable connection, or null. A non-idempotent call only gets a recently used connection: if the endpoint
+    /// closes an idle connection while the call is being sent, it is unknown whether the call has run.
+    std::shared_ptr<endpoint_connection> acquire(const std::string& endpointId, bool idempotent);
+    /// Returns a reusable connection to the pool.
+    void release(const std::string& endpointId, std::shared_ptr<endpoint_connection> connection, std::optional<std::chrono::seconds> keepAlive);
+    /// Closes connections that have reached their idle timeout.
+    void closeExpired();
     std::size_t size() const;
 
 private:
--- a/Source/forwarding/endpoint_connection.cpp
+++ b/Source/forwarding/endpoint_connection.cpp
@@ -13,11 +13,11 @@
 
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    constexpr std::uint32_t mostHeaderBytes = 32 * 1024;
+    constexpr std::uint32_t maxHeaderBytes = 32 * 1024;
     constexpr unsigned firstFinalStatus = 200;
-    /// Bytes that the endpoint's kernel doesn't acknowledge for this long mean a dead connection; far longer than any
-    /// delay of a live one, shorter than callers wait.
-    constexpr unsigned unacknowledgedMs = 1200;
+    /// A connection whose data stays unacknowledged for this long is dead. Far longer than any delay on a live
+    /// connection, shorter than callers wait.
+    constexpr unsigned tcpUserTimeoutMs = 1200;
 }
 
 endpoint_connection::endpoint_connection(const asio::any_io_executor& executor)
@@ -33,26 +33,26 @@
         co_return false;
     beast::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMs, sizeof unacknowledgedMs);
+    ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &tcpUserTimeoutMs, sizeof tcpUserTimeoutMs);
     co_return true;
 }
 
-void endpoint_connection::beginSend(std::string bytes)
+void endpoint_connection::startSend(std::string bytes)
 {
-    m_sending = std::move(bytes);
-    m_sent = false;
+    m_sendBuffer = std::move(bytes);
+    m_sendComplete = false;
     auto self = shared_from_this();
-    asio::async_write(m_socket, asio::buffer(m_sending), [self](beast::error_code error, std::size_t) { self->m_sent = !error; });
+    asio::async_write(m_socket, asio::buffer(m_sendBuffer), [self](beast::error_code error, std::size_t) { self->m_sendComplete = !error; });
 }
 
-task_of<call_failure> endpoint_connection::readHead(bool bodyless)
+task_of<call_failure> endpoint_connection::readResponseHead(bool noBody)
 {
     auto self = shared_from_this();
     while (true) {
         m_parser.emplace();
-        m_parser->header_limit(mostHeaderBytes);
+        m_parser->header_limit(maxHeaderBytes);
         m_parser->body_limit(boost::none);
-        m_parser->skip(bodyless);
+        m_parser->skip(noBody);
         auto [error, bytes] = co_await http::async_read_header(m_socket, m_buffer, *m_parser, asTuple);
         if (error)
             co_return call_failure::Broken;
@@ -61,7 +61,7 @@
     }
 }
 
-task_of<call_failure> endpoint_connection::readPiece(std::string& piece)
+task_of<call_failure> endpoint_connection::readBodyChunk(std::string& chunk)
 {
     auto self = shared_from_this();
     auto& body = m_parser->get().body();
@@ -70,20 +70,20 @@
         if (error || m_closed)
             co_return call_failure::Broken;
     }
-    piece = std::move(body);
+    chunk = std::move(body);
     body.clear();
     co_return call_failure::None;
 }
 
-task_of<call_failure> endpoint_connection::readRest(std::string& body, std::size_t most)
+task_of<call_failure> endpoint_connection::readRemainingBody(std::string& body, std::size_t maxBytes)
 {
-    while (!whole()) {
-        std::string piece;
-        auto failed = co_await readPiece(piece);
-        if (failed != call_failure::None)
-            co_return failed;
-        body += piece;
-        if (body.size() > most)
+    while (!isResponseComplete()) {
+        std::string chunk;
+        auto failure = co_await readBodyChunk(chunk);
+        if (failure != call_failure::None)
+            co_return failure;
+        body += chunk;
+        if (body.size() > maxBytes)
             co_return call_failure::Broken;
     }
     // The parser may have finished the body while it read the head.
@@ -91,16 +91,16 @@
     co_return call_failure::None;
 }
 
-bool endpoint_connection::reusable() const
+bool endpoint_connection::isReusable() const
 {
-    return !m_closed && m_sent && whole() && m_parser->keep_alive() && m_buffer.size() == 0;
+    return !m_closed && m_sendComplete && isResponseComplete() && m_parser->keep_alive() && m_buffer.size() == 0;
 }
 
-bool endpoint_connection::stillQuiet()
+bool endpoint_connection::isOpenAndIdle()
 {
     char byte = 0;
-    auto got = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    auto received = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void endpoint_connection::close()
--- a/Source/forwarding/endpoint_registry.cpp
+++ b/Source/forwarding/endpoint_registry.cpp
@@ -5,31 +5,33 @@
 namespace pistachiolatch {
 
 namespace {
-    /// After a failure an endpoint is left alone, longer each time. The first pause covers a restart's refused
-    /// connections; the longest keeps a dead endpoint from costing more than a call each few seconds.
-    constexpr milliseconds firstPause { 250 };
-    constexpr milliseconds longestPause { 4000 };
-    /// A refusal tells of a queue that is full now; it drains within a few calls.
-    constexpr milliseconds refusalPause { 60 };
-    /// How much the newest call counts in the share of failures: the last ten or so decide.
-    constexpr double failureWeight = 0.1;
-    /// A failing call costs as much as a wait behind this many full endpoints, so that an endpoint that fails a part
-    /// of its calls gets work only when the others are full.
+    /// Exponential backoff after failures. The initial value covers refused connections during a restart; the maximum
+    /// limits the cost of a dead endpoint to one call every few seconds.
+    constexpr milliseconds initialBackoff { 250 };
+    constexpr milliseconds maxBackoff { 4000 };
+    /// An endpoint that refuses has a full queue, which drains within a few calls.
+    constexpr milliseconds refusalBackoff { 60 };
+    /// Weight of the latest call in the failure rate, which therefore reflects about the last ten calls.
+    constexpr double failureSmoothing = 0.1;
+    /// A failure rate of 1 costs as much as this many times a full load, so that an endpoint that fails some of its
+    /// calls is selected only when the others are full.
     constexpr double failureCost = 4;
-    /// Share of failures from which an endpoint is not planned for while others serve.
-    constexpr double avoidedFailures = 0.3;
-    /// Load from which another data centre is looked at; bytes between data centres cost more than a short wait.
-    constexpr double remoteFrom = 0.7;
-    constexpr double remoteCost = 0.15;
-    /// Memory is filled up to this share: answers grow while they run, and reports of the others are half a second old.
-    constexpr double memoryShare = 0.92;
-    constexpr std::size_t few = 3;
-    /// A success this recent outweighs silence towards control: the endpoint may be cut off from control alone.
-    constexpr milliseconds recentSuccess { 1000 };
-    /// An endpoint that a new leader does not know is kept this long; announcements come several times meanwhile.
-    constexpr milliseconds unconfirmedKept { 6000 };
+    /// Above this failure rate an endpoint is unhealthy, and the planner avoids it while others serve.
+    constexpr double unhealthyFailureRate = 0.3;
+    /// Load above which other data centres are considered, and the penalty for selecting one: traffic between data
+    /// centres costs more than a short wait.
+    constexpr double remoteLoadThreshold = 0.7;
+    constexpr double remotePenalty = 0.15;
+    /// Maximum share of memory to fill: outputs grow while calls run, and reports of other entries are half a second old.
+    constexpr double maxMemoryShare = 0.92;
+    constexpr std::size_t sampleSize = 3;
+    /// A success this recent overrides that control reports the endpoint as silent: it may be partitioned from control
+    /// only.
+    constexpr milliseconds recentSuccessPeriod { 1000 };
+    /// How long an endpoint that a new leader doesn't know is kept; it announces itself several times in this period.
+    constexpr milliseconds unconfirmedTimeout { 6000 };
 
-    double loadOf(unsigned requests, unsigned slots)
+    double loadRatio(unsigned requests, unsigned slots)
     {
         return slots > 0 ? static_cast<double>(requests) / slots : 0;
     }
@@ -42,30 +44,30 @@
 {
 }
 
-void endpoint_registry::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool everything)
+void endpoint_registry::onEndpoints(const google::protobuf::RepeatedPtrField<wire::endpoint_row>& rows, bool complete)
 {
     auto now = m_clock.now();
-    if (everything) {
-        for (auto& [id, one] : m_endpoints) {
-            if (one.unconfirmedSince == time_point {})
-                one.unconfirmedSince = now;
+    if (complete) {
+        for (auto& [id, endpoint] : m_endpoints) {
+            if (endpoint.unconfirmedSince == time_point {})
+                endpoint.unconfirmedSince = now;
         }
     }
     for (const auto& row : rows)
-        takeRow(row);
+        applyRow(row);
     std::erase_if(m_endpoints, [&](const auto& item) {
-        return item.second.unconfirmedSince != time_point {} && now - item.second.unconfirmedSince > unconfirmedKept;
+        return item.second.unconfirmedSince != time_point {} && now - item.second.unconfirmedSince > unconfirmedTimeout;
     });
 }
 
-void endpoint_registry::takeRow(const wire::endpoint_row& row)
+void endpoint_registry::applyRow(const wire::endpoint_row& row)
 {
     const auto& report = row.report();
     auto found = m_endpoints.find(report.id());
     if (found != m_endpoints.end()) {
         const auto& known = found->second.report;
-        bool older = report.born_ms() < known.born_ms() || (report.born_ms() == known.born_ms() && report.sequence() < known.sequence() && report.state() != wire::ENDPOINT_GONE);
-        if (older)
+        bool isStale = report.born_ms() < known.born_ms() || (report.born_ms() == known.born_ms() && report.sequence() < known.sequence() && report.state() != wire::ENDPOINT_GONE);
+        if (isStale)
             return;
     }
     if (report.state() == wire::ENDPOINT_GONE) {
@@ -75,27 +77,27 @@
         }
         return;
     }
-    auto& one = m_endpoints[report.id()];
-    bool restarted = one.report.born_ms() != report.born_ms();
-    if (restarted || one.report.state() != report.state() || one.report.stage() != report.stage() || one.silent != row.silent()) {
+    auto& endpoint = m_endpoints[report.id()];
+    bool restarted = endpoint.report.born_ms() != report.born_ms();
+    if (restarted || endpoint.report.state() != report.state() || endpoint.report.stage() != report.stage() || endpoint.silent != row.silent()) {
         logEvent("endpoint_known", { { "endpoint", report.id() }, { "born", report.born_ms() }, { "address", report.address() }, { "service", report.service() }, { "leaving", report.state() == wire::ENDPOINT_LEAVING ? 1 : 0 }, { "stage", static_cast<int>(report.stage()) }, { "silent", row.silent() ? 1 : 0 } });
     }
-    // A restart clears what was held against the endpoint: it is another process.
+    // A restarted endpoint is a new process, so earlier failures don't count.
     if (restarted) {
-        one.failures = 0;
-        one.failuresInARow = 0;
-        one.avoidUntil = {};
+        endpoint.failureRate = 0;
+        endpoint.consecutiveFailures = 0;
+        endpoint.backoffUntil = {};
     }
-    one.report = report;
-    one.silent = row.silent();
-    one.unconfirmedSince = {};
+    endpoint.report = report;
+    endpoint.silent = row.silent();
+    endpoint.unconfirmedSince = {};
 }
 
 void endpoint_registry::onLoad(const google::protobuf::RepeatedPtrField<wire::endpoint_load>& others)
 {
-    for (auto& [id, one] : m_endpoints) {
-        one.otherRequests = 0;
-        one.otherTokens = 0;
+    for (auto& [id, endpoint] : m_endpoints) {
+        endpoint.otherRequests = 0;
+        endpoint.otherTokens = 0;
     }
     for (const auto& load : others) {
         auto found = m_endpoints.find(load.id());
@@ -108,39 +110,39 @@
 
 void endpoint_registry::fillLoad(google::protobuf::RepeatedPtrField<wire::endpoint_load>& own) const
 {
-    for (const auto& [id, one] : m_endpoints) {
-        if (one.ownRequests == 0)
+    for (const auto& [id, endpoint] : m_endpoints) {
+        if (endpoint.ownRequests == 0)
             continue;
         auto& load = *own.Add();
         load.set_id(id);
-        load.set_requests(one.ownRequests);
-        load.set_tokens(one.ownTokens);
+        load.set_requests(endpoint.ownRequests);
+        load.set_tokens(endpoint.ownTokens);
     }
 }
 
 void endpoint_registry::fillCalls(google::protobuf::RepeatedPtrField<wire::running_call>& calls) const
 {
-    for (const auto& [id, call] : m_calls)
+    for (const auto& [id, call] : m_runningCalls)
         *calls.Add() = call;
 }
 
-void endpoint_registry::beginCall(std::uint64_t id, const std::string& endpoint, std::uint64_t promptTokens, std::uint64_t outputTokens)
+void endpoint_registry::addRunningCall(std::uint64_t id, const std::string& endpoint, std::uint64_t promptTokens, std::uint64_t outputTokens)
 {
-    auto& call = m_calls[id];
+    auto& call = m_runningCalls[id];
     call.set_id(id);
     call.set_endpoint(endpoint);
     call.set_prompt_tokens(promptTokens);
     call.set_output_tokens(outputTokens);
 }
 
-void endpoint_registry::noteGenerated(std::uint64_t id, std::uint64_t tokens)
+void endpoint_registry::updateGeneratedTokens(std::uint64_t id, std::uint64_t tokens)
 {
-    auto found = m_calls.find(id);
-    if (found != m_calls.end())
+    auto found = m_runningCalls.find(id);
+    if (found != m_runningCalls.end())
         found->second.set_generated(tokens);
 }
 
-bool endpoint_registry::hasAny(const std::string& service, wire::endpoint_stage stage) const
+bool endpoint_registry::hasServing(const std::string& service, wire::endpoint_stage stage) const
 {
     return std::any_of(m_endpoints.begin(), m_endpoints.end(), [&](const auto& item) {
         const auto& report = item.second.report;
@@ -148,108 +150,108 @@
     });
 }
 
-bool endpoint_registry::usable(const known_endpoint& one, const endpoint_query& query, time_point now) const
+bool endpoint_registry::isEligible(const endpoint_record& endpoint, const endpoint_query& query, time_point now) const
 {
-    const auto& report = one.report;
+    const auto& report = endpoint.report;
     if (report.service() != query.service || report.stage() != query.stage || report.state() != wire::ENDPOINT_SERVING)
         return false;
-    if (query.exclude.count(report.id()) || (one.silent && now - one.succeededAt > recentSuccess))
+    if (query.exclude.count(report.id()) || (endpoint.silent && now - endpoint.lastSuccessAt > recentSuccessPeriod))
         return false;
-    if (query.mostRequests > 0 && one.ownRequests + one.otherRequests >= query.mostRequests)
+    if (query.maxRequests > 0 && endpoint.ownRequests + endpoint.otherRequests >= query.maxRequests)
         return false;
     if (query.memoryTokens == 0)
         return true;
-    auto after = static_cast<double>(one.ownTokens + one.otherTokens + query.tokens);
-    return after <= memoryShare * static_cast<double>(query.memoryTokens) || one.ownTokens + one.otherTokens == 0;
+    auto projectedTokens = static_cast<double>(endpoint.ownTokens + endpoint.otherTokens + query.tokens);
+    return projectedTokens <= maxMemoryShare * static_cast<double>(query.memoryTokens) || endpoint.ownTokens + endpoint.otherTokens == 0;
 }
 
-bool endpoint_registry::avoided(const known_endpoint& one, time_point now) const
+bool endpoint_registry::isInBackoff(const endpoint_record& endpoint, time_point now) const
 {
-    return now < one.avoidUntil;
+    return now < endpoint.backoffUntil;
 }
 
-double endpoint_registry::cost(const known_endpoint& one, const endpoint_query& query)
+double endpoint_registry::cost(const endpoint_record& endpoint, const endpoint_query& query)
 {
-    double load = query.memoryTokens > 0 ? static_cast<double>(one.ownTokens + one.otherTokens) / static_cast<double>(query.memoryTokens)
-                                         : loadOf(one.ownRequests + one.otherRequests, query.fullAt > 0 ? query.fullAt : one.report.slots());
-    double cold = one.report.cold_ms() > 0 ? 1 : 0;
-    return load + failureCost * one.failures + cold;
+    double load = query.memoryTokens > 0 ? static_cast<double>(endpoint.ownTokens + endpoint.otherTokens) / static_cast<double>(query.memoryTokens)
+                                         : loadRatio(endpoint.ownRequests + endpoint.otherRequests, query.requestCapacity > 0 ? query.requestCapacity : endpoint.report.slots());
+    double cold = endpoint.report.cold_ms() > 0 ? 1 : 0;
+    return load + failureCost * endpoint.failureRate + cold;
 }
 
-const endpoint_registry::known_endpoint* endpoint_registry::bestOfFew(const std::vector<const known_endpoint*>& candidates, const endpoint_query& query)
+const endpoint_registry::endpoint_record* endpoint_registry::selectFromSample(const std::vector<const endpoint_record*>& candidates, const endpoint_query& query)
 {
-    const known_endpoint* best = nullptr;
+    const endpoint_record* best = nullptr;
     double bestCost = 0;
     auto offset = candidates.empty() ? 0 : m_random() % candidates.size();
-    auto stride = candidates.size() > few ? 1 + m_random() % (candidates.size() - 1) : 1;
-    for (std::size_t i = 0; i < std::min(few, candidates.size()); ++i) {
-        const auto* one = candidates[(offset + i * stride) % candidates.size()];
-        auto price = cost(*one, query);
-        if (best && price >= bestCost)
+    auto stride = candidates.size() > sampleSize ? 1 + m_random() % (candidates.size() - 1) : 1;
+    for (std::size_t i = 0; i < std::min(sampleSize, candidates.size()); ++i) {
+        const auto* endpoint = candidates[(offset + i * stride) % candidates.size()];
+        auto candidateCost = cost(*endpoint, query);
+        if (best && candidateCost >= bestCost)
             continue;
-        best = one;
-        bestCost = price;
+        best = endpoint;
+        bestCost = candidateCost;
     }
     return best;
 }
 
-std::optional<picked_endpoint> endpoint_registry::pick(const endpoint_query& query)
+std::optional<selected_endpoint> endpoint_registry::select(const endpoint_query& query)
 {
     auto now = m_clock.now();
-    const auto& preferred = query.nearTo.empty() ? m_dataCentre : query.nearTo;
-    std::vector<const known_endpoint*> near;
-    std::vector<const known_endpoint*> far;
-    std::vector<const known_endpoint*> lastResort;
-    for (const auto& [id, one] : m_endpoints) {
-        if (!usable(one, query, now))
+    const auto& preferred = query.preferredDataCentre.empty() ? m_dataCentre : query.preferredDataCentre;
+    std::vector<const endpoint_record*> localCandidates;
+    std::vector<const endpoint_record*> remoteCandidates;
+    std::vector<const endpoint_record*> inBackoff;
+    for (const auto& [id, endpoint] : m_endpoints) {
+        if (!isEligible(endpoint, query, now))
             continue;
-        if (avoided(one, now))
-            lastResort.push_back(&one);
-        else if (one.report.data_centre() == preferred)
-            near.push_back(&one);
+        if (isInBackoff(endpoint, now))
+            inBackoff.push_back(&endpoint);
+        else if (endpoint.report.data_centre() == preferred)
+            localCandidates.push_back(&endpoint);
         else
-            far.push_back(&one);
+            remoteCandidates.push_back(&endpoint);
     }
-    const auto* best = bestOfFew(near, query);
-    if (!best || cost(*best, query) > remoteFrom) {
-        const auto* remote = bestOfFew(far, query);
-        if (remote && (!best || cost(*remote, query) + remoteCost < cost(*best, query)))
+    const auto* best = selectFromSample(localCandidates, query);
+    if (!best || cost(*best, query) > remoteLoadThreshold) {
+        const auto* remote = selectFromSample(remoteCandidates, query);
+        if (remote && (!best || cost(*remote, query) + remotePenalty < cost(*best, query)))
             best = remote;
     }
     if (!best)
-        best = bestOfFew(lastResort, query);
+        best = selectFromSample(inBackoff, query);
     if (!best)
         return std::nullopt;
-    return picked_endpoint { best->report.id(), best->report.address(), best->report.data_centre(), best->report.born_ms() };
+    return selected_endpoint { best->report.id(), best->report.address(), best->report.data_centre(), best->report.born_ms() };
 }
 
-std::optional<picked_endpoint> endpoint_registry::find(const std::string& id) const
+std::optional<selected_endpoint> endpoint_registry::find(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end() || found->second.report.state() != wire::ENDPOINT_SERVING)
         return std::nullopt;
     const auto& report = found->second.report;
-    return picked_endpoint { report.id(), report.address(), report.data_centre(), report.born_ms() };
+    return selected_endpoint { report.id(), report.address(), report.data_centre(), report.born_ms() };
 }
 
-std::vector<std::string> endpoint_registry::avoided(const std::string& service) const
+std::vector<std::string> endpoint_registry::unhealthyEndpoints(const std::string& service) const
 {
     auto now = m_clock.now();
     std::vector<std::string> ids;
-    for (const auto& [id, one] : m_endpoints) {
-        if (one.report.service() == service && (avoided(one, now) || one.failures > avoidedFailures))
+    for (const auto& [id, endpoint] : m_endpoints) {
+        if (endpoint.report.service() == service && (isInBackoff(endpoint, now) || endpoint.failureRate > unhealthyFailureRate))
             ids.push_back(id);
     }
     return ids;
 }
 
-bool endpoint_registry::failsNow(const std::string& id) const
+bool endpoint_registry::isUnhealthy(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
-    return found != m_endpoints.end() && (avoided(found->second, m_clock.now()) || found->second.failures > avoidedFailures);
+    return found != m_endpoints.end() && (isInBackoff(found->second, m_clock.now()) || found->second.failureRate > unhealthyFailureRate);
 }
 
-void endpoint_registry::begin(const std::string& id, std::uint64_t tokens)
+void endpoint_registry::addRequest(const std::string& id, std::uint64_t tokens)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
@@ -258,66 +260,66 @@
     found->second.ownTokens += tokens;
 }
 
-void endpoint_registry::end(const std::string& id, std::uint64_t tokens)
+void endpoint_registry::removeRequest(const std::string& id, std::uint64_t tokens)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
         return;
-    auto& one = found->second;
-    // An endpoint may have been dropped and come back between begin and end; its counts then started anew.
-    one.ownRequests -= std::min(one.ownRequests, 1U);
-    one.ownTokens -= std::min(one.ownTokens, tokens);
+    auto& endpoint = found->second;
+    // The endpoint may have been removed and added again since addRequest(), which resets its counters.
+    endpoint.ownRequests -= std::min(endpoint.ownRequests, 1U);
+    endpoint.ownTokens -= std::min(endpoint.ownTokens, tokens);
 }
 
-void endpoint_registry::judge(const std::string& id, endpoint_verdict verdict)
+void endpoint_registry::recordOutcome(const std::string& id, endpoint_outcome outcome)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
         return;
-    auto& one = found->second;
+    auto& endpoint = found->second;
     auto now = m_clock.now();
-    if (verdict == endpoint_verdict::Refused) {
-        one.avoidUntil = std::max(one.avoidUntil, now + refusalPause);
+    if (outcome == endpoint_outcome::Refused) {
+        endpoint.backoffUntil = std::max(endpoint.backoffUntil, now + refusalBackoff);
         return;
     }
-    bool bad = verdict != endpoint_verdict::Good;
-    one.failures += failureWeight * ((bad ? 1.0 : 0.0) - one.failures);
-    if (!bad) {
-        one.failuresInARow = 0;
-        one.avoidUntil = {};
-        one.succeededAt = now;
+    bool failed = outcome != endpoint_outcome::Succeeded;
+    endpoint.failureRate += failureSmoothing * ((failed ? 1.0 : 0.0) - endpoint.failureRate);
+    if (!failed) {
+        endpoint.consecutiveFailures = 0;
+        endpoint.backoffUntil = {};
+        endpoint.lastSuccessAt = now;
         return;
     }
-    ++one.failuresInARow;
-    // A single error of a live endpoint is priced by the share of failures alone; a lost one is left alone at once.
-    if (verdict == endpoint_verdict::Failed && one.failuresInARow < 2)
+    ++endpoint.consecutiveFailures;
+    // A single error of a live endpoint only raises its failure rate; an unreachable one is backed off at once.
+    if (outcome == endpoint_outcome::Failed && endpoint.consecutiveFailures < 2)
         return;
-    auto doublings = std::min(one.failuresInARow - 1, 4U);
-    one.avoidUntil = now + std::min(firstPause * (1 << doublings), longestPause);
+    auto doublings = std::min(endpoint.consecutiveFailures - 1, 4U);
+    endpoint.backoffUntil = now + std::min(initialBackoff * (1 << doublings), maxBackoff);
 }
 
-void endpoint_registry::noteHeard(const std::string& id)
+void endpoint_registry::recordActivity(const std::string& id)
 {
     auto found = m_endpoints.find(id);
     if (found != m_endpoints.end())
-        found->second.heardAt = m_clock.now();
+        found->second.lastActivityAt = m_clock.now();
 }
 
-time_point endpoint_registry::heardAt(const std::string& id) const
+time_point endpoint_registry::lastActivityAt(const std::string& id) const
 {
     auto found = m_endpoints.find(id);
-    return found == m_endpoints.end() ? time_point {} : found->second.heardAt;
+    return found == m_endpoints.end() ? time_point {} : found->second.lastActivityAt;
 }
 
-void endpoint_registry::noteLoad(const std::string& id, const reported_load& load)
+void endpoint_registry::updateLoad(const std::string& id, const reported_load& load)
 {
     auto found = m_endpoints.find(id);
     if (found == m_endpoints.end())
         return;
-    auto& one = found->second;
+    auto& endpoint = found->second;
     auto reported = load.running + load.waiting;
-    // The endpoint's own word is newer than what the other entries reported through the leader.
-    one.otherRequests = reported > one.ownRequests ? reported - one.ownRequests : 0;
+    // The endpoint's own report is newer than the reports of other entries, which arrive through the leader.
+    endpoint.otherRequests = reported > endpoint.ownRequests ? reported - endpoint.ownRequests : 0;
 }
 
 } // namespace pistachiolatch
--- a/Source/forwarding/event_splitter.cpp
+++ b/Source/forwarding/event_splitter.cpp
@@ -5,8 +5,8 @@
 namespace {
     constexpr std::string_view idField = "id:";
 
-    /// The value of the last id line; empty when there is none.
-    std::string_view lastIdIn(std::string_view events)
+    /// Returns the value of the last id field, or an empty view if there is none.
+    std::string_view findLastId(std::string_view events)
     {
         std::string_view id;
         std::size_t begin = 0;
@@ -27,31 +27,31 @@
         return id;
     }
 
-    /// Where the last whole event ends; 0 when there is none.
-    std::size_t endOfLastEvent(std::string_view bytes)
+    /// Returns the offset of the end of the last complete event, or 0 if there is none.
+    std::size_t findLastEventEnd(std::string_view bytes)
     {
-        auto plain = bytes.rfind("\n\n");
-        auto withReturns = bytes.rfind("\r\n\r\n");
+        auto lfEnd = bytes.rfind("\n\n");
+        auto crlfEnd = bytes.rfind("\r\n\r\n");
         std::size_t end = 0;
-        if (plain != std::string_view::npos)
-            end = plain + 2;
-        if (withReturns != std::string_view::npos)
-            end = std::max(end, withReturns + 4);
+        if (lfEnd != std::string_view::npos)
+            end = lfEnd + 2;
+        if (crlfEnd != std::string_view::npos)
+            end = std::max(end, crlfEnd + 4);
         return end;
     }
 }
 
-std::string event_splitter::takeWhole()
+std::string event_splitter::takeCompleteEvents()
 {
-    auto end = endOfLastEvent(m_held);
+    auto end = findLastEventEnd(m_buffer);
     if (end == 0)
         return {};
-    auto whole = m_held.substr(0, end);
-    m_held.erase(0, end);
-    auto id = lastIdIn(whole);
+    auto events = m_buffer.substr(0, end);
+    m_buffer.erase(0, end);
+    auto id = findLastId(events);
     if (!id.empty())
-        m_lastId = std::string(id);
-    return whole;
+        m_lastEventId = std::string(id);
+    return events;
 }
 
 } // namespace pistachiolatch
--- a/Source/forwarding/event_splitter.h
+++ b/Source/forwarding/event_splitter.h
@@ -4,24 +4,24 @@
 
 namespace pistachiolatch {
 
-/// Cuts a stream of server-sent events into whole events and notes their ids, so that a stream can go on elsewhere
-/// after the last whole one. Not thread-safe.
+/// Splits a stream of server-sent events into complete events and records their ids, so that another endpoint can
+/// resume the stream after the last complete event. Not thread-safe.
 class event_splitter {
 public:
-    /// Takes in bytes of the stream.
-    void feed(std::string_view bytes) { m_held.append(bytes); }
-    /// The whole events that are there, as bytes; empty when there are none.
-    std::string takeWhole();
-    /// The id of the last whole event taken; empty before the first.
-    const std::string& lastId() const { return m_lastId; }
-    /// What is left of an event that is not whole.
-    std::string_view rest() const { return m_held; }
-    /// Drops what is left: the endpoint that sent it is gone.
-    void dropRest() { m_held.clear(); }
+    /// Appends bytes received from the stream.
+    void append(std::string_view bytes) { m_buffer.append(bytes); }
+    /// Removes and returns the bytes of all complete events; empty if there are none.
+    std::string takeCompleteEvents();
+    /// Id of the last event returned by takeCompleteEvents(); empty if none had an id.
+    const std::string& lastEventId() const { return m_lastEventId; }
+    /// The buffered bytes of an incomplete event.
+    std::string_view remainder() const { return m_buffer; }
+    /// Discards an incomplete event when the endpoint that sent it is no longer used.
+    void discardRemainder() { m_buffer.clear(); }
 
 private:
-    std::string m_held;
-    std::string m_lastId;
+    std::string m_buffer;
+    std::string m_lastEventId;
 };
 
 } // namespace pistachiolatch
--- a/Source/forwarding/forwarding.h
+++ b/Source/forwarding/forwarding.h
@@ -1,4 +1,4 @@
 #pragma once
-/// The way of a call from its caller to an endpoint and back.
-/// This is the library's one public header.
+/// Forwards calls from callers to endpoints and the responses back.
+/// This is the library's only public header.
 #include "forwarding/call_gateway.h"
--- a/Source/forwarding/response_writer.cpp
+++ b/Source/forwarding/response_writer.cpp
@@ -6,19 +6,19 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr std::array hopByHop { "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "content-length" };
+    constexpr std::array hopByHopFields { "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "content-length" };
 }
 
 bool isHopByHop(std::string_view name)
 {
-    for (const auto* one : hopByHop) {
-        if (boost::beast::iequals({ name.data(), name.size() }, one))
+    for (const auto* fieldName : hopByHopFields) {
+        if (boost::beast::iequals({ name.data(), name.size() }, fieldName))
             return true;
     }
     return false;
 }
 
-std::string encodeAnswerHead(unsigned status, std::string_view reasonPhrase, const header_fields& fields, const answer_framing& framing)
+std::string encodeResponseHead(unsigned status, std::string_view reasonPhrase, const header_fields& fields, const response_framing& framing)
 {
     auto head = fmt::format("HTTP/1.1 {} {}\r\n", status, reasonPhrase);
     for (const auto& field : fields) {
@@ -31,18 +31,18 @@
         head += fmt::format("Content-Length: {}\r\n", *framing.length);
     else
         head += "Transfer-Encoding: chunked\r\n";
-    if (framing.closeAfter)
+    if (framing.closeConnection)
         head += "Connection: close\r\n";
     head += "\r\n";
     return head;
 }
 
-std::string encodeChunk(std::string_view piece)
+std::string encodeChunk(std::string_view data)
 {
-    if (piece.empty())
+    if (data.empty())
         return "0\r\n\r\n";
-    auto chunk = fmt::format("{:x}\r\n", piece.size());
-    chunk.append(piece).append("\r\n");
+    auto chunk = fmt::format("{:x}\r\n", data.size());
+    chunk.append(data).append("\r\n");
     return chunk;
 }
 
--- a/Source/forwarding/response_writer.h
+++ b/Source/forwarding/response_writer.h
@@ -3,21 +3,21 @@
 
 namespace pistachiolatch {
 
-/// How an answer's body is framed towards the caller.
-struct answer_framing {
-    /// The length where it is known; otherwise the body goes in chunks.
+/// How a response body is framed on the connection to the caller.
+struct response_framing {
+    /// Body length if known; otherwise the body is sent in chunked encoding.
     std::optional<std::size_t> length;
-    bool closeAfter = false;
+    bool closeConnection = false;
 };
 
-/// The head of an endpoint's answer as the caller gets it: the endpoint's status and fields, but for those that concern
-/// a single connection. Thread safety: any thread.
-std::string encodeAnswerHead(unsigned status, std::string_view reasonPhrase, const header_fields& fields, const answer_framing& framing);
+/// Encodes the head of an endpoint's response for the caller: the endpoint's status and header fields without the
+/// hop-by-hop fields. Thread safety: any thread.
+std::string encodeResponseHead(unsigned status, std::string_view reasonPhrase, const header_fields& fields, const response_framing& framing);
 
-/// Whether a field concerns a single connection and is not passed on. Thread safety: any thread.
+/// Whether a header field applies to a single connection only and is not forwarded. Thread safety: any thread.
 bool isHopByHop(std::string_view name);
 
-/// One chunk of a body in chunks; the empty piece ends the body. Thread safety: any thread.
-std::string encodeChunk(std::string_view piece);
+/// Encodes one chunk of a chunked body; empty data ends the body. Thread safety: any thread.
+std::string encodeChunk(std::string_view data);
 
 } // namespace pistachiolatch
--- a/Source/forwarding/retry_policy.cpp
+++ b/Source/forwarding/retry_policy.cpp
@@ -3,8 +3,8 @@
 namespace pistachiolatch {
 
 namespace {
-    /// With less time left than this, another send can't bring an answer; it would only take an endpoint's time.
-    constexpr milliseconds leastTimeForSend { 30 };
+    /// With less time left, another attempt can't complete before the deadline and would only load an endpoint.
+    constexpr milliseconds minTimeForAttempt { 30 };
 }
 
 std::string_view noRetryReasonName(no_retry_reason value)
@@ -28,22 +28,22 @@
     return "none";
 }
 
-no_retry_reason noRetryReasonAfter(const failed_send& failed)
+no_retry_reason determineNoRetryReason(const failed_attempt& attempt)
 {
-    if (failed.timeLeft < leastTimeForSend)
+    if (attempt.timeLeft < minTimeForAttempt)
         return no_retry_reason::TooLittleTimeLeft;
-    bool unrun = failed.end == attempt_end::NotSent || failed.end == attempt_end::RefusedUnrun;
-    bool idempotent = failed.kind == call_kind::Idempotent || (failed.kind == call_kind::Stream && failed.resumable);
+    bool certainlyNotRun = attempt.outcome == attempt_outcome::NotSent || attempt.outcome == attempt_outcome::RefusedNotRun;
+    bool idempotent = attempt.kind == call_kind::Idempotent || (attempt.kind == call_kind::Stream && attempt.resumable);
     if (idempotent)
-        return failed.mayHaveRunAt < failed.mostEndpoints ? no_retry_reason::None : no_retry_reason::EndpointLimitReached;
-    return unrun && failed.mayHaveRunAt == 0 ? no_retry_reason::None : no_retry_reason::NotIdempotent;
+        return attempt.possibleRuns < attempt.maxEndpoints ? no_retry_reason::None : no_retry_reason::EndpointLimitReached;
+    return certainlyNotRun && attempt.possibleRuns == 0 ? no_retry_reason::None : no_retry_reason::NotIdempotent;
 }
 
-next_step afterFailedSend(const failed_send& failed)
+retry_decision decideRetry(const failed_attempt& attempt)
 {
-    if (noRetryReasonAfter(failed) == no_retry_reason::None)
-        return next_step::SendAgain;
-    return failed.mayHaveRunAt == 0 ? next_step::RefuseNotRun : next_step::FailMayHaveRun;
+    if (determineNoRetryReason(attempt) == no_retry_reason::None)
+        return retry_decision::Retry;
+    return attempt.possibleRuns == 0 ? retry_decision::FailNotRun : retry_decision::FailMayHaveRun;
 }
 
 } // namespace pistachiolatch
--- a/Source/forwarding/retry_policy.h
+++ b/Source/forwarding/retry_policy.h
@@ -3,66 +3,67 @@
 
 namespace pistachiolatch {
 
-/// How a send of a call to an endpoint ended.
-enum class attempt_end {
-    /// The endpoint's whole answer is there, or its stream ended whole.
-    Answered,
-    /// Nothing reached the endpoint: no connection came about.
+/// Outcome of one attempt to run a call at an endpoint.
+enum class attempt_outcome {
+    /// The complete response or stream was received.
+    Completed,
+    /// No connection was established, so the endpoint received nothing.
     NotSent,
-    /// The endpoint vouches that it has not run the call and never will.
-    RefusedUnrun,
-    /// The call may have run: the connection broke, the answer was no answer, or the endpoint failed.
+    /// The endpoint guarantees that it has not run the call and never will.
+    RefusedNotRun,
+    /// The call may have run: the connection broke, the response was invalid, or the endpoint failed.
     MayHaveRun,
-    /// Nothing came in time; the call may have run or run still.
+    /// The attempt timed out; the call may have run or still be running.
     Stalled,
 };
 
-/// What is known when a send failed.
-struct failed_send {
-    attempt_end end = attempt_end::MayHaveRun;
+/// A failed attempt and the state of its call, as input to the retry decision.
+struct failed_attempt {
+    attempt_outcome outcome = attempt_outcome::MayHaveRun;
     call_kind kind = call_kind::NonIdempotent;
     bool resumable = false;
-    /// Endpoints at which the call may have run by now, and how many the route allows.
-    unsigned mayHaveRunAt = 0;
-    unsigned mostEndpoints = 1;
+    /// Number of endpoints that may have run the call, and the maximum that the route allows.
+    unsigned possibleRuns = 0;
+    unsigned maxEndpoints = 1;
     milliseconds timeLeft { 0 };
 };
 
-enum class next_step {
-    SendAgain,
-    /// Give up; the call has surely not run.
-    RefuseNotRun,
-    /// Give up; the call may have run.
+enum class retry_decision {
+    Retry,
+    /// Fail the call, which has certainly not run.
+    FailNotRun,
+    /// Fail the call, which may have run.
     FailMayHaveRun,
 };
 
-/// Why a call is not sent again.
+/// Why a call is not retried.
 enum class no_retry_reason {
     None,
-    /// The call may have run and must not run twice.
+    /// The call is not idempotent and may have run.
     NotIdempotent,
     /// The call may already have run at as many endpoints as its route allows.
     EndpointLimitReached,
-    /// The time left before the deadline is too short for another send.
+    /// The time left before the deadline is too short for another attempt.
     TooLittleTimeLeft,
     /// The retry budget shared by the entries is spent.
     RetryBudgetSpent,
     /// No endpoint had capacity for the call in time.
     NoEndpoint,
-    /// The crashes, certain or suspected, that count against the request have reached the limit.
+    /// The number of confirmed and suspected crashes attributed to the request has reached the limit.
     Poison,
 };
 
 /// The reason's name in logs. Thread safety: any thread.
 std::string_view noRetryReasonName(no_retry_reason value);
 
-/// Why the call may not be sent again after this failure, or None if it may. Does not consider the retry budget or the
-/// availability of endpoints, so it never returns RetryBudgetSpent, NoEndpoint or Poison. Pure. Thread safety: any thread.
-no_retry_reason noRetryReasonAfter(const failed_send& failed);
+/// Returns why the call must not be retried after this attempt, or None if it may be. Does not consider the retry
+/// budget, the availability of endpoints or crashes, so it never returns RetryBudgetSpent, NoEndpoint or Poison.
+/// Pure. Thread safety: any thread.
+no_retry_reason determineNoRetryReason(const failed_attempt& attempt);
 
-/// What to do after a failed send. A call that must not run twice is sent again only after proof that it has not run:
-/// a lost answer looks the same as a lost request from here, and a second booking is worse than none. Pure.
-/// Thread safety: any thread.
-next_step afterFailedSend(const failed_send& failed);
+/// Decides what to do after a failed attempt. A non-idempotent call is retried only if it certainly has not run: a lost
+/// response can't be told from a lost request, and a duplicate execution is worse than none.
+/// Pure. Thread safety: any thread.
+retry_decision decideRetry(const failed_attempt& attempt);
 
 } // namespace pistachiolatch
--- a/Source/forwarding/shared_retry_budget.cpp
+++ b/Source/forwarding/shared_retry_budget.cpp
@@ -10,52 +10,52 @@
 {
 }
 
-shared_retry_budget::account& shared_retry_budget::advance(const std::string& service, time_point now)
+shared_retry_budget::service_window& shared_retry_budget::advance(const std::string& service, time_point now)
 {
-    auto& one = m_accounts[service];
-    auto slice = now.time_since_epoch() / (m_settings.window / slices);
-    auto steps = std::min<std::int64_t>(slice - one.newest, slices);
+    auto& window = m_windows[service];
+    auto bucket = now.time_since_epoch() / (m_settings.window / bucketCount);
+    auto steps = std::min<std::int64_t>(bucket - window.newestBucket, bucketCount);
     for (std::int64_t i = 1; i <= steps; ++i) {
-        auto index = static_cast<std::size_t>((slice - steps + i) % static_cast<std::int64_t>(slices));
-        one.firsts[index] = 0;
-        one.repeats[index] = 0;
+        auto index = static_cast<std::size_t>((bucket - steps + i) % static_cast<std::int64_t>(bucketCount));
+        window.firstAttempts[index] = 0;
+        window.retries[index] = 0;
     }
-    one.newest = std::max(one.newest, static_cast<std::int64_t>(slice));
-    return one;
+    window.newestBucket = std::max(window.newestBucket, static_cast<std::int64_t>(bucket));
+    return window;
 }
 
-void shared_retry_budget::onFirst(const std::string& service, time_point now)
+void shared_retry_budget::recordFirstAttempt(const std::string& service, time_point now)
 {
-    auto& one = advance(service, now);
-    ++one.firsts[static_cast<std::size_t>(one.newest) % slices];
+    auto& window = advance(service, now);
+    ++window.firstAttempts[static_cast<std::size_t>(window.newestBucket) % bucketCount];
 }
 
-bool shared_retry_budget::hasRoom(const std::string& service, unsigned entries, time_point now)
+bool shared_retry_budget::hasBudget(const std::string& service, unsigned entries, time_point now)
 {
-    auto& one = advance(service, now);
-    auto firsts = std::accumulate(one.firsts.begin(), one.firsts.end(), 0U);
-    auto repeats = std::accumulate(one.repeats.begin(), one.repeats.end(), 0U);
-    return repeats + 1 <= m_settings.ratio * firsts + m_settings.slack / std::max(1U, entries);
+    auto& window = advance(service, now);
+    auto firstAttempts = std::accumulate(window.firstAttempts.begin(), window.firstAttempts.end(), 0U);
+    auto retries = std::accumulate(window.retries.begin(), window.retries.end(), 0U);
+    return retries + 1 <= m_settings.ratio * firstAttempts + m_settings.slack / std::max(1U, entries);
 }
 
-void shared_retry_budget::countFurther(const std::string& service, time_point now)
+void shared_retry_budget::recordRetry(const std::string& service, time_point now)
 {
-    auto& one = advance(service, now);
-    ++one.repeats[static_cast<std::size_t>(one.newest) % slices];
+    auto& window = advance(service, now);
+    ++window.retries[static_cast<std::size_t>(window.newestBucket) % bucketCount];
 }
 
-bool shared_retry_budget::mayAskToRead(const std::string& service, unsigned entries, bool readBefore, bool endpointFails, time_point now)
+bool shared_retry_budget::mayRequestPrefill(const std::string& service, unsigned entries, bool isRetry, bool isEndpointUnhealthy, time_point now)
 {
-    if (readBefore)
-        return tryAgain(service, entries, now);
-    return !endpointFails || hasRoom(service, entries, now);
+    if (isRetry)
+        return tryConsumeRetry(service, entries, now);
+    return !isEndpointUnhealthy || hasBudget(service, entries, now);
 }
 
-bool shared_retry_budget::tryAgain(const std::string& service, unsigned entries, time_point now)
+bool shared_retry_budget::tryConsumeRetry(const std::string& service, unsigned entries, time_point now)
 {
-    if (!hasRoom(service, entries, now))
+    if (!hasBudget(service, entries, now))
         return false;
-    countFurther(service, now);
+    recordRetry(service, now);
     return true;
 }
 
--- a/Source/forwarding/shared_retry_budget.h
+++ b/Source/forwarding/shared_retry_budget.h
@@ -7,46 +7,44 @@
 namespace pistachiolatch {
 
 struct retry_budget_settings {
-    /// Further sends that each first one allows.
+    /// Retries allowed per first attempt.
     double ratio = 0.1;
-    /// Further sends that all entries together may make in a window beyond the ratio.
+    /// Retries that all entries together may make per window in addition to the ratio.
     double slack = 0;
     milliseconds window { 10000 };
 };
 
-/// Bounds the sends of calls to a second endpoint, for each service, over a sliding window. All entries share one
-/// bound; each keeps to its share of it, so that none needs to ask: a failing service would otherwise be buried under
-/// the repeats of its own failures.
-/// Not thread-safe.
+/// Limits the retries per service over a sliding window, so that retries don't overload a failing service. The limit
+/// covers all entries; each enforces its own share, which needs no communication. Not thread-safe.
 class shared_retry_budget {
 public:
     explicit shared_retry_budget(retry_budget_settings settings);
 
-    /// Counts a first send.
-    void onFirst(const std::string& service, time_point now);
-    /// Takes one further send out of the budget if there is one.
-    bool tryAgain(const std::string& service, unsigned entries, time_point now);
-    /// Whether an endpoint may be asked to read a call's prompt. The first one that does is part of the call; one that
-    /// doesn't makes the next send a further one. Load pattern: the few endpoints that read prompts fail, and every call
-    /// asks one of them for nothing; uncounted, that alone exceeds what all entries may send again. With nothing left in
-    /// the budget, only an endpoint that is sound is asked.
-    bool mayAskToRead(const std::string& service, unsigned entries, bool readBefore, bool endpointFails, time_point now);
-    /// Counts a first question to read a prompt that the endpoint did not read.
-    void onNotRead(const std::string& service, time_point now) { countFurther(service, now); }
+    /// Records the first attempt of a call.
+    void recordFirstAttempt(const std::string& service, time_point now);
+    /// Consumes one retry of the budget. Returns false if the budget is spent.
+    bool tryConsumeRetry(const std::string& service, unsigned entries, time_point now);
+    /// Whether a prefill request may be sent to an endpoint; consumes a retry if isRetry. The first successful prefill is
+    /// part of the call; after a failed one, the next request counts as a retry. Without that, a failure of the few
+    /// prefill endpoints makes every call send a useless request, which alone exceeds the limit of all entries. Once the
+    /// budget is spent, only healthy endpoints are asked.
+    bool mayRequestPrefill(const std::string& service, unsigned entries, bool isRetry, bool isEndpointUnhealthy, time_point now);
+    /// Records that the first prefill request of a call failed.
+    void recordFailedPrefill(const std::string& service, time_point now) { recordRetry(service, now); }
 
 private:
-    static constexpr std::size_t slices = 10;
-    struct account {
-        std::array<unsigned, slices> firsts {};
-        std::array<unsigned, slices> repeats {};
-        std::int64_t newest = 0;
+    static constexpr std::size_t bucketCount = 10;
+    struct service_window {
+        std::array<unsigned, bucketCount> firstAttempts {};
+        std::array<unsigned, bucketCount> retries {};
+        std::int64_t newestBucket = 0;
     };
-    bool hasRoom(const std::string& service, unsigned entries, time_point now);
-    void countFurther(const std::string& service, time_point now);
-    account& advance(const std::string& service, time_point now);
+    bool hasBudget(const std::string& service, unsigned entries, time_point now);
+    void recordRetry(const std::string& service, time_point now);
+    service_window& advance(const std::string& service, time_point now);
 
     retry_budget_settings m_settings;
-    std::map<std::string, account> m_accounts;
+    std::map<std::string, service_window> m_windows;
 };
 
 } // namespace pistachiolatch
--- a/Source/forwarding/stall_policy.cpp
+++ b/Source/forwarding/stall_policy.cpp
@@ -5,36 +5,36 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Callers leave a stream after a pause of the longest of these: two seconds, four times the time to the first event
-    /// that they are content with, eight times such a pause between events.
-    constexpr milliseconds leastPauseBorne { 2000 };
-    constexpr int pauseInTargets = 4;
-    constexpr int pauseInGaps = 8;
-    /// Pauses after which an engine that says nothing at all counts as dark. Sound ones send an event each 50 to 100 ms
-    /// on some stream, so this is many events of each.
-    constexpr int gapsUntilDark = 3;
-    constexpr milliseconds leastUntilDark { 700 };
-    /// The part of the pause that callers bear after which a stream leaves a live engine: going on elsewhere takes some
-    /// 300 ms when all goes well, and must be done before they leave.
-    constexpr int liveShare = 2;
+    /// Callers disconnect after a pause longer than the maximum of two seconds, four times the latency target and eight
+    /// times the gap target.
+    constexpr milliseconds minToleratedPause { 2000 };
+    constexpr int toleratedLatencyTargets = 4;
+    constexpr int toleratedGapTargets = 8;
+    /// An engine without any output is considered unresponsive after this many gap targets. A healthy engine sends an
+    /// event on some stream every 50 to 100 ms, so it would have sent many events by then.
+    constexpr int unresponsiveGapTargets = 3;
+    constexpr milliseconds minUnresponsiveTime { 700 };
+    /// A stream is migrated away from a live engine after this fraction of the tolerated pause. Migration takes about
+    /// 300 ms without errors and must be complete before the caller disconnects.
+    constexpr int aliveTimeoutDivisor = 2;
 }
 
-milliseconds pauseCallersBear(milliseconds latencyTarget, milliseconds gapTarget)
+milliseconds maxToleratedPause(milliseconds latencyTarget, milliseconds gapTarget)
 {
-    return std::max({ leastPauseBorne, latencyTarget * pauseInTargets, gapTarget * pauseInGaps });
+    return std::max({ minToleratedPause, latencyTarget * toleratedLatencyTargets, gapTarget * toleratedGapTargets });
 }
 
-bool endpointLives(const quiet_stream& stream)
+bool isEndpointAlive(const idle_stream& stream)
 {
-    return stream.endpointQuiet + stream.gapTarget < stream.quiet;
+    return stream.endpointIdleTime + stream.gapTarget < stream.idleTime;
 }
 
-milliseconds quietAllowed(const quiet_stream& stream)
+milliseconds stallTimeout(const idle_stream& stream)
 {
-    auto dark = std::max(stream.gapTarget * gapsUntilDark, leastUntilDark);
-    if (!endpointLives(stream))
-        return dark;
-    return std::max(dark, pauseCallersBear(stream.latencyTarget, stream.gapTarget) / liveShare);
+    auto timeout = std::max(stream.gapTarget * unresponsiveGapTargets, minUnresponsiveTime);
+    if (!isEndpointAlive(stream))
+        return timeout;
+    return std::max(timeout, maxToleratedPause(stream.latencyTarget, stream.gapTarget) / aliveTimeoutDivisor);
 }
 
 } // namespace pistachiolatch
--- a/Source/forwarding/stall_policy.h
+++ b/Source/forwarding/stall_policy.h
@@ -3,31 +3,31 @@
 
 namespace pistachiolatch {
 
-/// A stream that has sent nothing for a while, though its connection is open.
-struct quiet_stream {
+/// Idle times of a stream whose connection is open.
+struct idle_stream {
     milliseconds latencyTarget { 0 };
-    /// The longest pause between two events with which an answer is still as good as it gets.
+    /// The longest pause between two events that does not reduce the quality of service.
     milliseconds gapTarget { 0 };
-    /// How long the stream has been quiet.
-    milliseconds quiet { 0 };
-    /// How long nothing has come from its endpoint on any of this entry's connections.
-    milliseconds endpointQuiet { 0 };
+    /// Time since the last data of the stream.
+    milliseconds idleTime { 0 };
+    /// Time since the last data from the stream's endpoint on any of this entry's connections.
+    milliseconds endpointIdleTime { 0 };
 };
 
-/// The longest pause that callers bear in a stream before they leave.
+/// Returns the longest pause in a stream that callers tolerate before they disconnect.
 /// Pure. Thread safety: any thread.
-milliseconds pauseCallersBear(milliseconds latencyTarget, milliseconds gapTarget);
+milliseconds maxToleratedPause(milliseconds latencyTarget, milliseconds gapTarget);
 
-/// Whether the endpoint has sent something since the stream fell quiet, so that it is alive and only this stream waits.
+/// Whether the endpoint has sent data on another stream since this one stalled, so that only this stream is waiting.
 /// Pure. Thread safety: any thread.
-bool endpointLives(const quiet_stream& stream);
+bool isEndpointAlive(const idle_stream& stream);
 
-/// How long a stream may be quiet before it had better go on at another endpoint. Two causes look alike at first:
-/// - An engine that went dark: its streams all stop and never go on. They must move while their callers still wait.
-/// - An engine whose memory ran out: it puts back one stream, the others go on, and it reads the prompt again as soon as
-///   memory frees. Elsewhere the prompt would be read again too, at an engine that is about as full, so such a stream
-///   stays longer.
+/// Returns the idle time after which a stream should be migrated to another endpoint. It depends on the cause:
+/// - The engine is unresponsive: none of its streams will continue. They must be migrated before their callers
+///   disconnect.
+/// - The engine is out of memory: it preempts one stream, continues the others and repeats the prefill once memory is
+///   free. Migration would repeat the prefill too, on an engine with a similar load, so the timeout is longer.
 /// Pure. Thread safety: any thread.
-milliseconds quietAllowed(const quiet_stream& stream);
+milliseconds stallTimeout(const idle_stream& stream);
 
 } // namespace pistachiolatch
