--- /dev/null
+++ b/Source/forwarding/call_forwarder_common.h
@@ -0,0 +1,445 @@
+#pragma once
+// Processing common to all calls, and calls to services without engines. Included only by call_forwarder.h.
+#include "forwarding/call_forwarder.h"
+#include <boost/asio.hpp>
+#include <xxhash.h>
+
+namespace pistachiolatch {
+
+namespace forwarding_detail {
+    constexpr auto asTuple = boost::asio::as_tuple(boost::asio::use_awaitable);
+    /// Connecting within a region takes milliseconds. A lost SYN is retransmitted only after one second, which is too
+    /// long for callers with a latency target of 100 ms.
+    constexpr milliseconds connectTimeout { 250 };
+    /// Timeout of an attempt that can be retried, as a multiple of the route's latency target.
+    constexpr int attemptTimeoutTargets = 4;
+    /// Size limit of responses that are buffered before they are forwarded; the same as for callers' requests.
+    constexpr std::size_t maxResponseBytes = 16UL * 1024 * 1024;
+    /// Responses to earlier requests that are skipped before the expected one.
+    constexpr int maxStrayResponses = 2;
+    /// The wait for tokens of the organisation's limit is bounded by this fraction of the route's latency target.
+    constexpr int tokenTimeoutDivisor = 3;
+    /// Retry-After if there is no endpoint or configuration; either is usually available within about a second.
+    constexpr milliseconds defaultRetryAfter { 700 };
+    /// Retry-After for a request suspected of crashing endpoints: endpoints that are still running have reported by then.
+    constexpr milliseconds suspicionRetryAfter { 2000 };
+    /// Minimum Retry-After for a caller over its rate limit.
+    constexpr milliseconds minRateRetryAfter { 200 };
+    /// Returns the cost of a call against the organisation's limit; a call that declares no tokens costs plainTokens.
+    inline std::uint64_t tokenCost(const organisation_config& organisation, const request_metadata& metadata)
+    {
+        if (!organisation.limitsTokens)
+            return 1;
+        return metadata.tokens ? metadata.tokens->prompt + metadata.tokens->output : organisation.plainTokens;
+    }
+}
+
+template <call_codec Codec>
+call_forwarder<Codec>::call_forwarder(forwarding_context& shared, std::shared_ptr<caller_connection> caller, caller_request request)
+    : m_shared(shared)
+    , m_caller(std::move(caller))
+    , m_request(std::move(request))
+    , m_metadata(Codec::parseRequest(m_request))
+    , m_receivedAt(shared.clock.now())
+    , m_deadlineAt(m_receivedAt + m_metadata.deadline.value_or(milliseconds(std::chrono::hours(1))))
+    , m_table(shared.link.routeTable())
+    , m_deadlineTimer(shared.context)
+    , m_attemptTimer(shared.context)
+{
+    m_keepAlive = m_request.keep_alive();
+}
+
+template <call_codec Codec>
+call_forwarder<Codec>::~call_forwarder()
+{
+    *m_alive = false;
+    m_caller->stopWatching();
+    m_deadlineTimer.cancel();
+    m_attemptTimer.cancel();
+}
+
+template <call_codec Codec>
+task_of<bool> call_forwarder<Codec>::run()
+{
+    auto refused = admit();
+    if (refused) {
+        co_await sendErrorResponse(*refused);
+        co_return m_keepAlive;
+    }
+    startDeadlineTimer();
+    auto alive = m_alive;
+    m_caller->watchDisconnect([this, alive] {
+        if (!*alive)
+            return;
+        m_callerGone = true;
+        closeCurrentConnection();
+    });
+    auto verdict = co_await acquireTokens();
+    if (!verdict.granted && !isAborted()) {
+        auto cause = verdict.overRate ? reason::OverRate : reason::LimitUnreachable;
+        error_response error { cause, httpStatus(cause), std::max(verdict.retryAfter, forwarding_detail::minRateRetryAfter) };
+        co_await sendErrorResponse(error);
+    } else if (!isAborted()) {
+        auto& service = chooseService(*m_route, std::uniform_real_distribution<double>()(m_shared.random));
+        m_service = m_table->findService(service);
+        bool isModelCall = m_service->engine && m_route->kind == call_kind::Stream;
+        if (isModelCall)
+            co_await runModelCall();
+        else
+            co_await runServiceCall();
+    } else {
+        co_await finishUnanswered(reason::DeadlinePassed);
+    }
+    releasePrefill();
+    logCallEnded();
+    // A stream that started before the shutdown announced keep-alive, but the process might stop before it could respond
+    // to another request.
+    bool keepConnection = m_keepAlive && !m_callerGone && !m_shared.draining && !m_caller->isClosed();
+    co_return keepConnection;
+}
+
+template <call_codec Codec>
+task_of<void> call_forwarder<Codec>::rejectForShutdown()
+{
+    error_response error { reason::ShuttingDown, httpStatus(reason::ShuttingDown), milliseconds(0) };
+    co_await sendErrorResponse(error);
+}
+
+template <call_codec Codec>
+std::optional<error_response> call_forwarder<Codec>::admit()
+{
+    auto reject = [](reason cause, std::optional<milliseconds> retryAfter = std::nullopt) { return error_response { cause, httpStatus(cause), retryAfter }; };
+    // An entry without a current configuration must not use the old one: a key may have been withdrawn meanwhile.
+    if (!m_shared.link.hasCurrentConfiguration())
+        return reject(reason::NoConfig, forwarding_detail::defaultRetryAfter);
+    std::string_view host(m_request[boost::beast::http::field::host].data(), m_request[boost::beast::http::field::host].size());
+    std::string_view target(m_request.target().data(), m_request.target().size());
+    m_route = m_table->find(host, target);
+    if (!m_route)
+        return reject(reason::NotFound);
+    if (m_table->requiresKeys() && !m_route->isPublic) {
+        if (m_metadata.key.empty())
+            return reject(reason::MissingKey);
+        m_organisation = m_table->findOrganisation(m_metadata.key);
+        if (!m_organisation)
+            return reject(reason::UnknownKey);
+    }
+    if (auto refused = checkPoisonBlock())
+        return refused;
+    m_deadlineAt = std::min(m_deadlineAt, m_receivedAt + m_route->timeout);
+    m_tokens = m_metadata.tokens ? m_metadata.tokens->prompt + m_metadata.tokens->output : 0;
+    return std::nullopt;
+}
+
+template <call_codec Codec>
+std::optional<error_response> call_forwarder<Codec>::checkPoisonBlock()
+{
+    if (!m_shared.link.hasBlockedRequests())
+        return std::nullopt;
+    switch (m_shared.link.blockOf(fingerprint())) {
+    case request_block::None:
+        return std::nullopt;
+    case request_block::Suspected:
+        return error_response { reason::SuspectedPoison, httpStatus(reason::SuspectedPoison), forwarding_detail::suspicionRetryAfter };
+    case request_block::Certain:
+        break;
+    }
+    return error_response { reason::PoisonRequest, httpStatus(reason::PoisonRequest), std::nullopt };
+}
+
+template <call_codec Codec>
+std::uint64_t call_forwarder<Codec>::fingerprint()
+{
+    if (!m_fingerprint) {
+        auto toView = [this](boost::beast::string_view text) { return std::string_view(text.data(), text.size()); };
+        auto identity = fmt::format("{}\n{}\n{}\n{}\n", m_organisation ? m_organisation->name : std::string(), toView(m_request.method_string()), toView(m_request[boost::beast::http::field::host]), toView(m_request.target()));
+        m_fingerprint = XXH3_64bits_withSeed(m_request.body().data(), m_request.body().size(), XXH3_64bits(identity.data(), identity.size()));
+    }
+    return *m_fingerprint;
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::recordBrokenConnection(const selected_endpoint& endpoint)
+{
+    // A connection closed by this entry is no evidence of a crash.
+    if (!isAborted() && !m_attemptExpired)
+        m_brokenEndpoint = endpoint;
+}
+
+template <call_codec Codec>
+task_of<void> call_forwarder<Codec>::reportCrash()
+{
+    auto endpoint = std::exchange(m_brokenEndpoint, std::nullopt);
+    if (!endpoint || isAborted())
+        co_return;
+    wire::crash_report report;
+    report.set_fingerprint(fingerprint());
+    report.set_endpoint(endpoint->id);
+    report.set_endpoint_incarnation(endpoint->incarnation);
+    report.set_request_id(m_metadata.id);
+    report.set_attempt(m_crashReports++);
+    pending_reply<std::uint32_t> reply(m_shared.context.get_executor());
+    m_shared.link.reportCrash(report, reply.completer());
+    auto crashes = co_await reply.wait(timeLeft());
+    m_crashes = std::max<std::uint32_t>(crashes.value_or(0), m_crashReports);
+}
+
+template <call_codec Codec>
+task_of<token_decision> call_forwarder<Codec>::acquireTokens()
+{
+    if (!m_organisation || m_organisation->rate == 0)
+        co_return token_decision { true, false, milliseconds(0) };
+    auto timeout = std::min(m_route->latencyTarget / forwarding_detail::tokenTimeoutDivisor, timeLeft());
+    pending_reply<token_decision> reply(m_shared.context.get_executor());
+    m_shared.tokenAccount.take(*m_organisation, forwarding_detail::tokenCost(*m_organisation, m_metadata), timeout, reply.completer());
+    auto verdict = co_await reply.wait(timeLeft());
+    co_return verdict.value_or(token_decision {});
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::startDeadlineTimer()
+{
+    m_deadlineTimer.expires_after(timeLeft());
+    m_deadlineTimer.async_wait([this, alive = m_alive](boost::system::error_code error) {
+        if (error || !*alive)
+            return;
+        m_deadlinePassed = true;
+        closeCurrentConnection();
+    });
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::startAttemptTimer(milliseconds timeout)
+{
+    m_attemptExpired = false;
+    auto attempt = ++m_attemptNumber;
+    m_attemptTimer.expires_after(timeout);
+    m_attemptTimer.async_wait([this, attempt, alive = m_alive](boost::system::error_code error) {
+        if (error || !*alive || attempt != m_attemptNumber)
+            return;
+        m_attemptExpired = true;
+        closeCurrentConnection();
+    });
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::cancelAttemptTimer()
+{
+    ++m_attemptNumber;
+    m_attemptTimer.cancel();
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::closeCurrentConnection()
+{
+    // Closing the connection cancels the request at the endpoint.
+    if (m_connection)
+        m_connection->close();
+}
+
+template <call_codec Codec>
+attempt_options call_forwarder<Codec>::makeAttemptOptions(const selected_endpoint& endpoint) const
+{
+    attempt_options options;
+    options.endpointId = endpoint.id;
+    options.timeLeft = timeLeft();
+    options.organisation = m_organisation ? m_organisation->name : std::string();
+    options.resumeAfterEventId = m_eventSplitter.lastEventId().empty() ? m_metadata.resumeAfterEventId : m_eventSplitter.lastEventId();
+    return options;
+}
+
+template <call_codec Codec>
+task_of<std::shared_ptr<endpoint_connection>> call_forwarder<Codec>::openConnection(const selected_endpoint& endpoint, bool idempotent)
+{
+    if (auto pooled = m_shared.pool.acquire(endpoint.id, idempotent)) {
+        m_connection = pooled;
+        co_return pooled;
+    }
+    auto fresh = std::make_shared<endpoint_connection>(m_shared.context.get_executor());
+    m_connection = fresh;
+    startAttemptTimer(forwarding_detail::connectTimeout);
+    bool connected = co_await fresh->connect(endpoint.address);
+    cancelAttemptTimer();
+    if (connected && !isAborted())
+        co_return fresh;
+    fresh->close();
+    m_connection.reset();
+    if (!isAborted()) {
+        recordOutcome(endpoint.id, endpoint_outcome::Unreachable);
+        m_shared.link.reportUnreachable(endpoint.id, endpoint.incarnation);
+    }
+    co_return nullptr;
+}
+
+template <call_codec Codec>
+task_of<void> call_forwarder<Codec>::runServiceCall()
+{
+    reason cause = reason::NoEndpoint;
+    while (!isAborted()) {
+        endpoint_query query;
+        query.service = m_service->name;
+        query.exclude = m_triedEndpoints;
+        auto endpoint = m_shared.endpoints.select(query);
+        if (!endpoint) {
+            m_noRetryReason = no_retry_reason::NoEndpoint;
+            break;
+        }
+        endpoint_reservation reservation(m_shared.endpoints, endpoint->id, 0);
+        auto options = makeAttemptOptions(*endpoint);
+        auto outcome = co_await sendAttempt(*endpoint, std::move(options));
+        if (outcome == attempt_outcome::Completed)
+            co_return;
+        co_await reportCrash();
+        cause = outcome == attempt_outcome::RefusedNotRun ? reason::NoCapacity : outcome == attempt_outcome::NotSent ? reason::ConnectFailed
+                                                                                                                     : reason::EndpointFailed;
+        if (isAborted() || !prepareRetry(outcome, endpoint->id))
+            break;
+    }
+    co_await finishUnanswered(cause);
+}
+
+template <call_codec Codec>
+bool call_forwarder<Codec>::prepareRetry(attempt_outcome outcome, const std::string& endpointId)
+{
+    m_triedEndpoints.insert(endpointId);
+    m_noRetryReason = determineNoRetryReason({ outcome, m_route->kind, m_route->resumable, m_possibleRuns, m_route->maxEndpoints, timeLeft() });
+    if (m_crashes >= crash_tracker::crashesToBlock)
+        m_noRetryReason = no_retry_reason::Poison;
+    // An attempt that was not sent loads no endpoint, so its retry needs no budget.
+    bool needsBudget = m_noRetryReason == no_retry_reason::None && outcome != attempt_outcome::NotSent;
+    if (needsBudget && !m_shared.retryBudget.tryConsumeRetry(m_service->name, m_shared.link.entryCount(), m_shared.clock.now()))
+        m_noRetryReason = no_retry_reason::RetryBudgetSpent;
+    bool allowed = m_noRetryReason == no_retry_reason::None;
+    auto cause = outcome == attempt_outcome::NotSent ? reason::ConnectFailed : outcome == attempt_outcome::RefusedNotRun ? reason::EndpointRefused
+                                                                                                                         : reason::EndpointFailed;
+    if (allowed)
+        m_shared.counters.countRetry(cause);
+    logEvent("attempt_failed", { { "request", m_metadata.id }, { "endpoint", endpointId }, { "why", reasonName(cause) }, { "stalled", outcome == attempt_outcome::Stalled ? 1 : 0 }, { "may_have_run_at", m_possibleRuns }, { "again", allowed ? 1 : 0 }, { "no_retry_reason", noRetryReasonName(m_noRetryReason) }, { "age_ms", age().count() } });
+    return allowed;
+}
+
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::sendAttempt(const selected_endpoint& endpoint, attempt_options options)
+{
+    auto connection = co_await openConnection(endpoint, isIdempotent());
+    if (!connection)
+        co_return isAborted() ? attempt_outcome::Stalled : attempt_outcome::NotSent;
+    if (m_sendCount++ == 0)
+        m_shared.retryBudget.recordFirstAttempt(m_service->name, m_shared.clock.now());
+    ++m_possibleRuns;
+    m_attemptExpired = false;
+    m_endpointIds += (m_endpointIds.empty() ? "" : ",") + endpoint.id;
+    options.timeLeft = timeLeft();
+    connection->startSend(Codec::encodeRequest(m_request, options));
+    bool canRetryElsewhere = isIdempotent() && m_possibleRuns < m_route->maxEndpoints;
+    if (canRetryElsewhere)
+        startAttemptTimer(std::max(m_route->latencyTarget * forwarding_detail::attemptTimeoutTargets, milliseconds(300)));
+    auto outcome = co_await receiveResponse(endpoint);
+    bool expired = m_attemptExpired;
+    cancelAttemptTimer();
+    if (outcome != attempt_outcome::Completed && m_connection) {
+        if (!m_connection->isReusable())
+            m_connection->close();
+        m_connection.reset();
+    }
+    if (outcome == attempt_outcome::RefusedNotRun)
+        --m_possibleRuns;
+    if (isAborted())
+        co_return outcome == attempt_outcome::RefusedNotRun ? outcome : attempt_outcome::Stalled;
+    if (outcome == attempt_outcome::MayHaveRun && expired)
+        co_return attempt_outcome::Stalled;
+    co_return outcome;
+}
+
+template <call_codec Codec>
+task_of<void> call_forwarder<Codec>::finishUnanswered(reason failureCause)
+{
+    if (m_callerGone) {
+        m_outcome = reasonName(reason::CallerGone);
+        co_return;
+    }
+    if (m_responseStarted) {
+        // Part of the response has been sent; only a closed connection tells the caller that it is truncated.
+        m_outcome = m_deadlinePassed ? "cut_at_deadline" : "cut_midway";
+        logTruncation(m_deadlinePassed ? "deadline" : noRetryReasonName(m_noRetryReason));
+        m_keepAlive = false;
+        m_caller->close();
+        co_return;
+    }
+    if (!m_fallbackResponse.empty()) {
+        m_keepAlive = false;
+        m_responseStarted = true;
+        m_status = m_fallbackStatus;
+        m_outcome = "answered";
+        bool written = co_await m_caller->write(std::move(m_fallbackResponse));
+        m_callerGone = !written;
+        co_return;
+    }
+    if (m_possibleRuns > 0) {
+        auto cause = m_deadlinePassed ? reason::DeadlinePassed : reason::EndpointFailed;
+        error_response error { cause, httpStatus(cause), std::nullopt };
+        co_await sendErrorResponse(error);
+        co_return;
+    }
+    auto cause = m_deadlinePassed ? reason::DeadlineUnreachable : failureCause;
+    error_response error { cause, httpStatus(cause), std::max(m_retryAfter, forwarding_detail::defaultRetryAfter) };
+    co_await sendErrorResponse(error);
+}
+
+template <call_codec Codec>
+task_of<void> call_forwarder<Codec>::sendErrorResponse(error_response error)
+{
+    m_keepAlive = m_keepAlive && !m_shared.draining;
+    m_shared.counters.countRefusal(error.cause);
+    m_status = error.status;
+    m_outcome = reasonName(error.cause);
+    m_responseStarted = true;
+    auto bytes = Codec::encodeErrorResponse(m_metadata, error, !m_keepAlive);
+    bool written = co_await m_caller->write(std::move(bytes));
+    m_callerGone = m_callerGone || !written;
+    if (!m_route)
+        logCallEnded();
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::recordOutcome(const std::string& endpointId, endpoint_outcome outcome)
+{
+    m_shared.endpoints.recordOutcome(endpointId, outcome);
+    if (outcome == endpoint_outcome::Succeeded)
+        m_outcomes.succeeded.push_back(endpointId);
+    else if (outcome != endpoint_outcome::Refused)
+        m_outcomes.failed.push_back(endpointId);
+    else if (!m_leftAliveEndpoint)
+        m_outcomes.refused.push_back(endpointId);
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::logTruncation(std::string_view cause) const
+{
+    auto latestVersion = m_shared.link.routeTable() ? m_shared.link.routeTable()->version() : 0;
+    logEvent("answer_cut", { { "request", m_metadata.id }, { "why", cause }, { "route", m_route->name }, { "version", m_table->version() }, { "latest_version", latestVersion }, { "events", m_eventsForwarded }, { "may_have_run_at", m_possibleRuns }, { "most_endpoints", m_route->maxEndpoints }, { "resumable", isResumable() ? 1 : 0 }, { "deadline_ms", m_metadata.deadline.value_or(milliseconds(0)).count() }, { "timeout_ms", m_route->timeout.count() }, { "time_left_ms", timeLeft().count() }, { "endpoint_wait_ms", m_endpointWait.count() }, { "engines_full", m_enginesFull ? 1 : 0 }, { "draining", m_shared.draining ? 1 : 0 }, { "age_ms", age().count() } });
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::handleShutdown()
+{
+    // An error or a complete response that is still being written already has its outcome.
+    if (!m_outcome.empty())
+        return;
+    m_outcome = "cut_at_shutdown";
+    if (m_responseStarted)
+        logTruncation("shutdown");
+    logCallEnded();
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::logCallEnded()
+{
+    // The coroutine of a call that was cut off at shutdown may resume after its connection is closed.
+    if (std::exchange(m_endLogged, true))
+        return;
+    m_shared.counters.observe("call_seconds", age());
+    logEvent("call_ended", { { "request", m_metadata.id }, { "route", m_route ? m_route->name : std::string() }, { "organisation", m_organisation ? m_organisation->name : std::string() }, { "version", m_table ? m_table->version() : 0 }, { "outcome", m_outcome }, { "status", m_status }, { "endpoints", m_endpointIds }, { "prompt_read_at", m_prefillEndpointId }, { "prompt_read_ms", m_prefillDuration.count() }, { "sends", m_sendCount }, { "tokens", m_tokens }, { "first_ms", m_firstEventLatency.count() }, { "pause_ms", m_longestPause.count() }, { "ms", age().count() } });
+}
+
+} // namespace pistachiolatch
--- /dev/null
+++ b/Source/forwarding/call_forwarder_responses.h
@@ -0,0 +1,131 @@
+#pragma once
+// Reading, validation and forwarding of complete responses. Included only by call_forwarder.h.
+#include "forwarding/call_forwarder.h"
+#include "forwarding/call_forwarder_common.h"
+#include <algorithm>
+#include <array>
+
+namespace pistachiolatch {
+
+template <call_codec Codec>
+task_of<call_failure> call_forwarder<Codec>::readMatchingHead(response_metadata& response)
+{
+    bool noBody = m_request.method() == boost::beast::http::verb::head;
+    for (int stray = 0;; ++stray) {
+        auto failure = co_await m_connection->readResponseHead(noBody);
+        if (failure != call_failure::None)
+            co_return failure;
+        response = Codec::parseResponse(m_connection->fields());
+        if (response.requestId.empty() || response.requestId == m_metadata.id)
+            co_return call_failure::None;
+        // A late response to an earlier request on this connection; the expected one follows.
+        m_shared.counters.count("stray_answer");
+        std::string discarded;
+        if (stray == forwarding_detail::maxStrayResponses || !response.sealed)
+            co_return call_failure::Broken;
+        failure = co_await m_connection->readRemainingBody(discarded, forwarding_detail::maxResponseBytes);
+        if (failure != call_failure::None)
+            co_return failure;
+    }
+}
+
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::receiveResponse(const selected_endpoint& endpoint)
+{
+    response_metadata response;
+    auto failure = co_await readMatchingHead(response);
+    if (failure != call_failure::None) {
+        if (!isAborted())
+            recordOutcome(endpoint.id, endpoint_outcome::Unreachable);
+        recordBrokenConnection(endpoint);
+        co_return attempt_outcome::MayHaveRun;
+    }
+    auto status = m_connection->status();
+    if (response.load)
+        m_shared.endpoints.updateLoad(endpoint.id, *response.load);
+    constexpr unsigned misdirected = 421;
+    if (response.guaranteedNotRun || status == misdirected) {
+        std::string discarded;
+        failure = co_await m_connection->readRemainingBody(discarded, forwarding_detail::maxResponseBytes);
+        if (failure == call_failure::None)
+            releaseConnection(endpoint.id, response);
+        // 421 means that another endpoint has taken over the address; the expected one is unreachable until it
+        // announces its new address.
+        recordOutcome(endpoint.id, status == misdirected ? endpoint_outcome::Unreachable : endpoint_outcome::Refused);
+        co_return attempt_outcome::RefusedNotRun;
+    }
+    bool isSuccess = status >= 200 && status < 300;
+    bool isVerified = response.sealed && !response.contentEncoded && response.requestId == m_metadata.id;
+    // These statuses tell the caller that its call has not run, which only the endpoint's guarantee could prove.
+    constexpr std::array notRunStatuses { 408U, 429U, 503U };
+    bool impliesNotRun = std::find(notRunStatuses.begin(), notRunStatuses.end(), status) != notRunStatuses.end();
+    if ((isSuccess && !isVerified) || impliesNotRun || response.contentEncoded) {
+        recordOutcome(endpoint.id, endpoint_outcome::Failed);
+        co_return attempt_outcome::MayHaveRun;
+    }
+    bool isServerError = status >= 500;
+    bool canRetryElsewhere = isIdempotent() && m_possibleRuns < m_route->maxEndpoints && !m_responseStarted;
+    if (isServerError)
+        recordOutcome(endpoint.id, endpoint_outcome::Failed);
+    if (isServerError && canRetryElsewhere)
+        co_return co_await storeFallbackResponse(endpoint, response);
+    if (isServerError && m_responseStarted)
+        co_return attempt_outcome::MayHaveRun;
+    if (m_responseStarted && !isSuccess)
+        co_return attempt_outcome::MayHaveRun;
+    if (isSuccess && m_route->kind == call_kind::Stream)
+        co_return co_await forwardStream(endpoint, response);
+    co_return co_await forwardCompleteResponse(endpoint, response);
+}
+
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::storeFallbackResponse(const selected_endpoint& endpoint, const response_metadata& response)
+{
+    std::string body;
+    auto failure = co_await m_connection->readRemainingBody(body, forwarding_detail::maxResponseBytes);
+    if (failure != call_failure::None || !response.sealed)
+        co_return attempt_outcome::MayHaveRun;
+    m_fallbackStatus = m_connection->status();
+    // A shutdown may start while the call waits for another endpoint, so this response always closes the connection.
+    m_fallbackResponse = encodeResponseHead(m_fallbackStatus, m_connection->reasonPhrase(), m_connection->fields(), { body.size(), true }) + body;
+    releaseConnection(endpoint.id, response);
+    co_return attempt_outcome::MayHaveRun;
+}
+
+template <call_codec Codec>
+task_of<attempt_outcome> call_forwarder<Codec>::forwardCompleteResponse(const selected_endpoint& endpoint, const response_metadata& response)
+{
+    std::string body;
+    auto status = m_connection->status();
+    auto failure = co_await m_connection->readRemainingBody(body, forwarding_detail::maxResponseBytes);
+    if (failure != call_failure::None) {
+        if (!isAborted())
+            recordOutcome(endpoint.id, endpoint_outcome::Failed);
+        recordBrokenConnection(endpoint);
+        co_return attempt_outcome::MayHaveRun;
+    }
+    if (status < 500)
+        recordOutcome(endpoint.id, endpoint_outcome::Succeeded);
+    m_keepAlive = m_keepAlive && !m_shared.draining;
+    auto bytes = encodeResponseHead(status, m_connection->reasonPhrase(), m_connection->fields(), { body.size(), !m_keepAlive });
+    releaseConnection(endpoint.id, response);
+    m_responseStarted = true;
+    m_status = status;
+    m_outcome = "answered";
+    bytes += body;
+    bool written = co_await m_caller->write(std::move(bytes));
+    m_callerGone = m_callerGone || !written;
+    co_return attempt_outcome::Completed;
+}
+
+template <call_codec Codec>
+void call_forwarder<Codec>::releaseConnection(const std::string& endpointId, const response_metadata& response)
+{
+    auto connection = std::exchange(m_connection, nullptr);
+    if (connection->isReusable())
+        m_shared.pool.release(endpointId, std::move(connection), response.keepAlive);
+    else
+        connection->close();
+}
+
+} // namespace pistachiolatch
--- /dev/null
+++ b/Source/forwarding/caller_connection.cpp
@@ -0,0 +1,64 @@
+#include "forwarding/caller_connection.h"
+
+#include <boost/asio.hpp>
+#include <sys/socket.h>
+
+namespace pistachiolatch {
+
+namespace asio = boost::asio;
+
+namespace {
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
+}
+
+caller_connection::caller_connection(asio::ip::tcp::socket socket, const clock_source& clock)
+    : m_socket(std::move(socket))
+    , m_clock(clock)
+{
+    boost::system::error_code ignored;
+    m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+}
+
+task_of<bool> caller_connection::write(std::string bytes)
+{
+    auto self = shared_from_this();
+    m_writeStartedAt = m_clock.now();
+    auto [error, count] = co_await asio::async_write(m_socket, asio::buffer(bytes), asTuple);
+    m_writeStartedAt = {};
+    co_return !error && !m_closed;
+}
+
+void caller_connection::watchDisconnect(std::function<void()> onDisconnect)
+{
+    m_onDisconnect = std::move(onDisconnect);
+    auto watchId = ++m_watchId;
+    auto self = shared_from_this();
+    m_socket.async_wait(asio::socket_base::wait_read, [self, watchId](boost::system::error_code error) {
+        if (watchId != self->m_watchId || self->m_closed || error == asio::error::operation_aborted)
+            return;
+        char byte = 0;
+        auto received = ::recv(self->m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        // Readable bytes belong to the caller's next request; only an end of stream or an error is a disconnect.
+        bool disconnected = error || received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+        if (disconnected && self->m_onDisconnect)
+            std::exchange(self->m_onDisconnect, nullptr)();
+    });
+}
+
+void caller_connection::stopWatching()
+{
+    ++m_watchId;
+    m_onDisconnect = nullptr;
+    boost::system::error_code ignored;
+    if (!m_closed)
+        m_socket.cancel(ignored);
+}
+
+void caller_connection::close()
+{
+    m_closed = true;
+    boost::system::error_code ignored;
+    m_socket.close(ignored);
+}
+
+} // namespace pistachiolatch
--- /dev/null
+++ b/Source/forwarding/caller_connection.h
@@ -0,0 +1,38 @@
+#pragma once
+#include "http/http.h"
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <functional>
+#include <memory>
+
+namespace pistachiolatch {
+
+/// The connection to a caller: writes responses and detects that the caller has disconnected. Used on one thread.
+class caller_connection : public std::enable_shared_from_this<caller_connection> {
+public:
+    caller_connection(boost::asio::ip::tcp::socket socket, const clock_source& clock);
+
+    boost::asio::ip::tcp::socket& socket() { return m_socket; }
+    boost::beast::flat_buffer& buffer() { return m_buffer; }
+    /// Writes bytes; returns false if the caller has disconnected. Completes only when all bytes are written, so a slow
+    /// caller exerts backpressure on the endpoint's stream and memory use stays bounded.
+    task_of<bool> write(std::string bytes);
+    /// Calls onDisconnect once if the caller closes its connection before stopWatching() is called.
+    void watchDisconnect(std::function<void()> onDisconnect);
+    void stopWatching();
+    void close();
+    bool isClosed() const { return m_closed; }
+    /// Start of the write in progress; zero if there is none.
+    time_point writeStartedAt() const { return m_writeStartedAt; }
+
+private:
+    boost::asio::ip::tcp::socket m_socket;
+    boost::beast::flat_buffer m_buffer;
+    const clock_source& m_clock;
+    std::function<void()> m_onDisconnect;
+    std::uint64_t m_watchId = 0;
+    time_point m_writeStartedAt {};
+    bool m_closed = false;
+};
+
+} // namespace pistachiolatch
