--- a/Source/endpoints/endpoint_protocol.h
+++ b/Source/endpoints/endpoint_protocol.h
@@ -66,14 +66,14 @@
     std::string finishReason;
 };
 
-struct held_item {
+struct endpoint_request {
     std::string tag;
     bool attached = false;
 };
 
 struct held_items {
     bool known = false;
-    std::vector<held_item> items;
+    std::vector<endpoint_request> items;
 };
 
 struct role_order {
@@ -103,10 +103,10 @@
         endpoint.cancel(tag)
         } -> std::same_as<task_of<bool>>;
     {
-        endpoint.held()
+        endpoint.listRequests()
         } -> std::same_as<task_of<held_items>>;
     {
-        endpoint.order(order)
+        endpoint.sendOrder(order)
         } -> std::same_as<task_of<endpoint_status>>;
 };
 
--- a/Source/endpoints/http_json_endpoint.cpp
+++ b/Source/endpoints/http_json_endpoint.cpp
@@ -187,7 +187,7 @@
     co_return answer.succeeded();
 }
 
-task_of<held_items> http_json_endpoint::held()
+task_of<held_items> http_json_endpoint::listRequests()
 {
     http_call call;
     call.method = "GET";
@@ -206,7 +206,7 @@
     co_return held;
 }
 
-task_of<endpoint_status> http_json_endpoint::order(const role_order& order)
+task_of<endpoint_status> http_json_endpoint::sendOrder(const role_order& order)
 {
     auto call = makeCall("/orders", orderBody(order));
     auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.order);
--- a/Source/endpoints/http_json_endpoint.h
+++ b/Source/endpoints/http_json_endpoint.h
@@ -35,9 +35,9 @@
     /// Frees everything under a tag. True when the engine confirmed that it holds nothing under it.
     task_of<bool> cancel(const std::string& tag);
     /// What the engine holds.
-    task_of<held_items> held();
+    task_of<held_items> listRequests();
     /// Tells the engine its role, model and version.
-    task_of<endpoint_status> order(const role_order& order);
+    task_of<endpoint_status> sendOrder(const role_order& order);
 
 private:
     std::string m_address;
--- a/Source/scheduler/custodian.cpp
+++ b/Source/scheduler/custodian.cpp
@@ -26,7 +26,7 @@
 task_of<void> custodian::runOne(const custodian_endpoint& endpoint, const sweep& given)
 {
     http_json_endpoint engine(endpoint.address, {});
-    auto held = co_await engine.held();
+    auto held = co_await engine.listRequests();
     for (const auto& item : held.items) {
         if (!orphaned(item, given))
             continue;
@@ -36,7 +36,7 @@
     }
 }
 
-bool custodian::orphaned(const held_item& item, const sweep& given)
+bool custodian::orphaned(const endpoint_request& item, const sweep& given)
 {
     auto tag = request_tag::parse(item.tag);
     if (!tag)
--- a/Source/scheduler/custodian.h
+++ b/Source/scheduler/custodian.h
@@ -37,7 +37,7 @@
 private:
     task_of<void> runOne(const custodian_endpoint& endpoint, const sweep& given);
     /// Whether a tag's entry is gone for good, as far as the live list tells.
-    bool orphaned(const held_item& item, const sweep& given);
+    bool orphaned(const endpoint_request& item, const sweep& given);
 
     metrics& m_metrics;
     /// When the entry of a tag was first missing from the live list.
--- a/Source/scheduler/scheduler_node.cpp
+++ b/Source/scheduler/scheduler_node.cpp
@@ -192,7 +192,7 @@
         if (!m_session.leaseValid())
             co_return;
         http_json_endpoint engine(address, {});
-        auto status = co_await engine.order(order);
+        auto status = co_await engine.sendOrder(order);
         m_metrics.count(status == endpoint_status::Done ? "order_taken" : "order_failed");
         logEvent("order_sent", { { "endpoint", id }, { "fence", order.fence }, { "taken", status == endpoint_status::Done } });
     };
