--- a/Source/endpoints/announcement_json.cpp
+++ b/Source/endpoints/announcement_json.cpp
@@ -7,45 +7,45 @@
 namespace json = boost::json;
 
 namespace {
-    /// Reads fields of one object and remembers the first that is malformed.
+    /// Reads the fields of a JSON object and records the first malformed one.
     class field_reader {
     public:
         explicit field_reader(const json::object& object)
             : m_object(object)
         {
         }
-        std::string text(const char* name, bool required)
+        std::string readString(const char* name, bool required)
         {
             const auto* value = m_object.if_contains(name);
             if (!value && !required)
                 return {};
             if (!value || !value->is_string() || (required && value->get_string().empty())) {
-                note(name, "must be a string that is not empty");
+                recordProblem(name, "must be a string that is not empty");
                 return {};
             }
             return std::string(value->get_string());
         }
-        std::uint64_t number(const char* name, bool required, std::uint64_t most)
+        std::uint64_t readNumber(const char* name, bool required, std::uint64_t maxValue)
         {
             const auto* value = m_object.if_contains(name);
             if (!value && !required)
                 return 0;
             json::error_code error;
             auto parsed = value ? value->to_number<std::uint64_t>(error) : 0;
-            if (!value || error || parsed > most) {
-                note(name, fmt::format("must be an integer from 0 to {}", most));
+            if (!value || error || parsed > maxValue) {
+                recordProblem(name, fmt::format("must be an integer from 0 to {}", maxValue));
                 return 0;
             }
             return parsed;
         }
-        bool flag(const char* name)
+        bool readFlag(const char* name)
         {
             const auto* value = m_object.if_contains(name);
             if (value && !value->is_bool())
-                note(name, "must be true or false");
+                recordProblem(name, "must be true or false");
             return value && value->is_bool() && value->get_bool();
         }
-        void note(const char* name, const std::string& problem)
+        void recordProblem(const char* name, const std::string& problem)
         {
             if (this->problem.empty())
                 this->problem = fmt::format("{} {}", name, problem);
@@ -56,9 +56,9 @@
         const json::object& m_object;
     };
 
-    constexpr std::uint64_t anyNumber = UINT64_MAX;
-    constexpr std::uint64_t smallNumber = 1'000'000'000;
-    constexpr std::size_t mostPrefixes = 256;
+    constexpr std::uint64_t maxUint64 = UINT64_MAX;
+    constexpr std::uint64_t maxSmallNumber = 1'000'000'000;
+    constexpr std::size_t maxCachedPrefixes = 256;
 }
 
 result<wire::endpoint_announcement> parseAnnouncement(const std::string& text)
@@ -69,28 +69,28 @@
         return failure { "the body must be a JSON object" };
     field_reader fields(value.get_object());
     wire::endpoint_announcement announcement;
-    announcement.set_id(fields.text("id", true));
-    announcement.set_incarnation(fields.number("incarnation", true, anyNumber));
-    announcement.set_sequence(fields.number("sequence", true, anyNumber));
-    announcement.set_address(fields.text("address", true));
-    announcement.set_role(fields.text("role", true));
-    announcement.set_model(fields.text("model", true));
-    announcement.set_model_version(fields.text("version", false));
-    announcement.set_data_centre(fields.text("data_centre", false));
-    announcement.set_slots(static_cast<std::uint32_t>(fields.number("slots", true, smallNumber)));
-    announcement.set_memory_pieces(static_cast<std::uint32_t>(fields.number("memory_pieces", false, smallNumber)));
-    announcement.set_fencing(fields.flag("fencing"));
-    announcement.set_leaving(fields.flag("leaving"));
-    announcement.set_running(static_cast<std::uint32_t>(fields.number("running", false, smallNumber)));
-    announcement.set_waiting(static_cast<std::uint32_t>(fields.number("waiting", false, smallNumber)));
-    announcement.set_used_pieces(static_cast<std::uint32_t>(fields.number("used_pieces", false, smallNumber)));
-    announcement.set_link_mbps(static_cast<std::uint32_t>(fields.number("link_mbps", false, smallNumber)));
-    announcement.set_fence(fields.number("fence", false, anyNumber));
-    announcement.set_prefill_tokens_per_s(static_cast<std::uint32_t>(fields.number("prefill_tokens_per_s", false, smallNumber)));
-    announcement.set_step_us(static_cast<std::uint32_t>(fields.number("step_us", false, smallNumber)));
-    announcement.set_kv_bytes_per_token(static_cast<std::uint32_t>(fields.number("kv_bytes_per_token", false, smallNumber)));
+    announcement.set_id(fields.readString("id", true));
+    announcement.set_incarnation(fields.readNumber("incarnation", true, maxUint64));
+    announcement.set_sequence(fields.readNumber("sequence", true, maxUint64));
+    announcement.set_address(fields.readString("address", true));
+    announcement.set_role(fields.readString("role", true));
+    announcement.set_model(fields.readString("model", true));
+    announcement.set_model_version(fields.readString("version", false));
+    announcement.set_data_centre(fields.readString("data_centre", false));
+    announcement.set_slots(static_cast<std::uint32_t>(fields.readNumber("slots", true, maxSmallNumber)));
+    announcement.set_memory_pieces(static_cast<std::uint32_t>(fields.readNumber("memory_pieces", false, maxSmallNumber)));
+    announcement.set_fencing(fields.readFlag("fencing"));
+    announcement.set_leaving(fields.readFlag("leaving"));
+    announcement.set_running(static_cast<std::uint32_t>(fields.readNumber("running", false, maxSmallNumber)));
+    announcement.set_waiting(static_cast<std::uint32_t>(fields.readNumber("waiting", false, maxSmallNumber)));
+    announcement.set_used_pieces(static_cast<std::uint32_t>(fields.readNumber("used_pieces", false, maxSmallNumber)));
+    announcement.set_link_mbps(static_cast<std::uint32_t>(fields.readNumber("link_mbps", false, maxSmallNumber)));
+    announcement.set_fence(fields.readNumber("fence", false, maxUint64));
+    announcement.set_prefill_tokens_per_s(static_cast<std::uint32_t>(fields.readNumber("prefill_tokens_per_s", false, maxSmallNumber)));
+    announcement.set_step_us(static_cast<std::uint32_t>(fields.readNumber("step_us", false, maxSmallNumber)));
+    announcement.set_kv_bytes_per_token(static_cast<std::uint32_t>(fields.readNumber("kv_bytes_per_token", false, maxSmallNumber)));
     const auto* prefixes = value.get_object().if_contains("cached_prefixes");
-    if (prefixes && prefixes->is_array() && prefixes->get_array().size() <= mostPrefixes) {
+    if (prefixes && prefixes->is_array() && prefixes->get_array().size() <= maxCachedPrefixes) {
         for (const auto& item : prefixes->get_array()) {
             auto prefix = item.to_number<std::uint64_t>(error);
             if (!error)
@@ -99,9 +99,9 @@
     }
     const auto& role = announcement.role();
     if (role != "prefill" && role != "decode" && role != "service")
-        fields.note("role", "must be prefill, decode or service");
+        fields.recordProblem("role", "must be prefill, decode or service");
     if (!isAddress(announcement.address()))
-        fields.note("address", "must be an IPv4 address and port");
+        fields.recordProblem("address", "must be an IPv4 address and port");
     if (!fields.problem.empty())
         return failure { fields.problem };
     return announcement;
--- a/Source/endpoints/announcement_json.h
+++ b/Source/endpoints/announcement_json.h
@@ -5,7 +5,7 @@
 
 namespace pistachiolatch {
 
-/// Reads the body of POST /announce. Errors: what is malformed, with the field. Thread safety: any thread.
+/// Parses the body of POST /announce. Errors: the first malformed field and its problem. Thread safety: any thread.
 result<wire::endpoint_announcement> parseAnnouncement(const std::string& text);
 
 } // namespace pistachiolatch
--- a/Source/endpoints/decode_stream.cpp
+++ b/Source/endpoints/decode_stream.cpp
@@ -1,4 +1,4 @@
-// How the tokens of a running decode are read and checked.
+// Reads and validates the token stream of a running decode.
 #include "endpoints/http_json_endpoint.h"
 
 #include <boost/json.hpp>
@@ -16,18 +16,19 @@
         if (error || !value.is_object())
             return token;
         const auto& body = value.get_object();
-        const auto* owner = body.if_contains("tag");
-        // Each event names its request: an engine or a proxy that mixes up two streams is found at the first token.
-        if (!owner || !owner->is_string() || owner->get_string() != tag) {
-            token.status = endpoint_status::Crossed;
+        const auto* eventTag = body.if_contains("tag");
+        // Each event carries the request's tag, so that an engine or a proxy that mixes up two streams is detected at
+        // the first token.
+        if (!eventTag || !eventTag->is_string() || eventTag->get_string() != tag) {
+            token.status = endpoint_status::TagMismatch;
             return token;
         }
         const auto* end = body.if_contains("done");
         const auto* index = body.if_contains("index");
         const auto* text = body.if_contains("text");
-        const auto* why = body.if_contains("reason");
+        const auto* stopReason = body.if_contains("reason");
         token.end = end && end->is_bool() && end->get_bool();
-        token.finishReason = why && why->is_string() ? std::string(why->get_string()) : std::string("stop");
+        token.finishReason = stopReason && stopReason->is_string() ? std::string(stopReason->get_string()) : std::string("stop");
         if (!token.end && (!index || !index->is_int64() || !text || !text->is_string()))
             return token;
         token.status = endpoint_status::Done;
@@ -41,16 +42,16 @@
 
 task_of<decoded_token> http_json_endpoint::nextToken()
 {
-    std::string piece;
+    std::string chunk;
     while (true) {
         if (auto event = m_events.next())
             co_return parseToken(*event, m_tag);
-        auto failed = co_await m_stream->readPiece(piece, m_timeouts.tokenProgress);
-        if (failed == call_failure::None && !piece.empty()) {
-            m_events.feed(piece);
+        auto failed = co_await m_stream->readPiece(chunk, m_timeouts.tokenProgress);
+        if (failed == call_failure::None && !chunk.empty()) {
+            m_events.feed(chunk);
             continue;
         }
-        // The stream ended without its end mark: what came is not the whole answer.
+        // The stream ended without its end mark, so the response is incomplete.
         decoded_token broken;
         broken.status = failed == call_failure::Stalled ? endpoint_status::Stalled : endpoint_status::Broken;
         co_return broken;
--- a/Source/endpoints/endpoint_protocol.h
+++ b/Source/endpoints/endpoint_protocol.h
@@ -10,46 +10,46 @@
 /// How a call to an endpoint ended.
 enum class endpoint_status {
     Done,
-    /// Nothing was sent: the endpoint has done nothing.
+    /// Nothing was sent, so the endpoint did nothing.
     NotSent,
-    /// The endpoint said no and did nothing.
+    /// The endpoint refused the call and did nothing.
     Refused,
-    /// What the call needs (a prefill's KV cache) is no longer there.
+    /// A resource that the call needs (a prefill's KV cache) no longer exists.
     Expired,
     /// The connection broke; the endpoint may have crashed.
     Broken,
-    /// No progress within the time allowed.
+    /// No progress within the timeout.
     Stalled,
-    /// The answer belongs to another request.
-    Crossed,
+    /// The response carries the tag of another request.
+    TagMismatch,
 };
 
-struct prefill_order {
+struct prefill_request {
     std::string tag;
     std::string model;
     std::string prompt;
-    /// Output that another engine already made, to be resumed behind.
+    /// Output that another engine has generated; generation resumes after it.
     std::string output;
     std::uint32_t fromIndex = 0;
     /// The caller's other parameters, as a JSON object.
     std::string parameters;
 };
 
-struct prefill_outcome {
+struct prefill_response {
     endpoint_status status = endpoint_status::NotSent;
     std::string kv;
     std::uint32_t promptTokens = 0;
     milliseconds expires { 0 };
 };
 
-struct import_order {
+struct kv_import_request {
     std::string tag;
     std::string kv;
     std::string sourceAddress;
     std::uint32_t maxTokens = 0;
 };
 
-struct decode_order {
+struct decode_request {
     std::string tag;
     std::string kv;
     std::uint32_t fromIndex = 0;
@@ -66,12 +66,14 @@
     std::string finishReason;
 };
 
+/// A request for which an endpoint holds resources.
 struct endpoint_request {
     std::string tag;
     bool attached = false;
 };
 
-struct held_items {
+struct endpoint_request_list {
+    /// Whether the endpoint returned the list.
     bool known = false;
     std::vector<endpoint_request> items;
 };
@@ -83,13 +85,13 @@
     std::string version;
 };
 
-/// What the system asks of a model engine. Another shape of engine is another type that satisfies this.
+/// The operations of a model engine. An engine with another API is supported by another type that satisfies this.
 template <typename T>
-concept endpoint_protocol = requires(T endpoint, const prefill_order& prefill, const import_order& import, const decode_order& decode, const role_order& order, const std::string& tag)
+concept endpoint_protocol = requires(T endpoint, const prefill_request& prefill, const kv_import_request& import, const decode_request& decode, const role_order& order, const std::string& tag)
 {
     {
         endpoint.prefill(prefill)
-        } -> std::same_as<task_of<prefill_outcome>>;
+        } -> std::same_as<task_of<prefill_response>>;
     {
         endpoint.importKv(import)
         } -> std::same_as<task_of<endpoint_status>>;
@@ -104,7 +106,7 @@
         } -> std::same_as<task_of<bool>>;
     {
         endpoint.listRequests()
-        } -> std::same_as<task_of<held_items>>;
+        } -> std::same_as<task_of<endpoint_request_list>>;
     {
         endpoint.sendOrder(order)
         } -> std::same_as<task_of<endpoint_status>>;
--- a/Source/endpoints/endpoints.h
+++ b/Source/endpoints/endpoints.h
@@ -1,5 +1,5 @@
 #pragma once
-/// What the system asks of endpoints, and the HTTP/JSON form of it (docs/ENDPOINTS.md).
+/// The endpoint protocol and its HTTP/JSON client (docs/ENDPOINTS.md).
 /// This is the library's one public header.
 #include "endpoints/announcement_json.h"
 #include "endpoints/endpoint_protocol.h"
--- a/Source/endpoints/http_json_endpoint.cpp
+++ b/Source/endpoints/http_json_endpoint.cpp
@@ -20,9 +20,9 @@
         return call;
     }
 
-    endpoint_status statusOf(const http_answer& answer)
+    endpoint_status toStatus(const http_answer& response)
     {
-        switch (answer.failed) {
+        switch (response.failed) {
         case call_failure::NotSent:
             return endpoint_status::NotSent;
         case call_failure::Broken:
@@ -32,9 +32,9 @@
         case call_failure::None:
             break;
         }
-        if (answer.succeeded())
+        if (response.succeeded())
             return endpoint_status::Done;
-        return answer.status == statusGone ? endpoint_status::Expired : endpoint_status::Refused;
+        return response.status == statusGone ? endpoint_status::Expired : endpoint_status::Refused;
     }
 
     json::object parseObject(const std::string& text)
@@ -44,13 +44,13 @@
         return !error && value.is_object() ? value.get_object() : json::object();
     }
 
-    std::string textOf(const json::object& object, const char* name)
+    std::string getString(const json::object& object, const char* name)
     {
         const auto* value = object.if_contains(name);
         return value && value->is_string() ? std::string(value->get_string()) : std::string();
     }
 
-    std::uint32_t numberOf(const json::object& object, const char* name)
+    std::uint32_t getNumber(const json::object& object, const char* name)
     {
         const auto* value = object.if_contains(name);
         json::error_code error;
@@ -58,41 +58,41 @@
         return error ? 0 : number;
     }
 
-    bool flagOf(const json::object& object, const char* name)
+    bool getFlag(const json::object& object, const char* name)
     {
         const auto* value = object.if_contains(name);
         return value && value->is_bool() && value->get_bool();
     }
 
-    json::object prefillBody(const prefill_order& order)
+    json::object prefillBody(const prefill_request& request)
     {
         json::object body;
-        body["tag"] = order.tag;
-        body["model"] = order.model;
-        body["prompt"] = order.prompt;
-        body["output"] = order.output;
-        body["from_index"] = order.fromIndex;
-        body["parameters"] = parseObject(order.parameters);
+        body["tag"] = request.tag;
+        body["model"] = request.model;
+        body["prompt"] = request.prompt;
+        body["output"] = request.output;
+        body["from_index"] = request.fromIndex;
+        body["parameters"] = parseObject(request.parameters);
         return body;
     }
 
-    json::object importBody(const import_order& order)
+    json::object importBody(const kv_import_request& request)
     {
         json::object body;
-        body["tag"] = order.tag;
-        body["kv"] = order.kv;
-        body["source"] = order.sourceAddress;
-        body["max_tokens"] = order.maxTokens;
+        body["tag"] = request.tag;
+        body["kv"] = request.kv;
+        body["source"] = request.sourceAddress;
+        body["max_tokens"] = request.maxTokens;
         return body;
     }
 
-    json::object decodeBody(const decode_order& order)
+    json::object decodeBody(const decode_request& request)
     {
         json::object body;
-        body["tag"] = order.tag;
-        body["kv"] = order.kv;
-        body["from_index"] = order.fromIndex;
-        body["max_tokens"] = order.maxTokens;
+        body["tag"] = request.tag;
+        body["kv"] = request.kv;
+        body["from_index"] = request.fromIndex;
+        body["max_tokens"] = request.maxTokens;
         return body;
     }
 
@@ -114,105 +114,105 @@
     }
 }
 
-task_of<prefill_outcome> http_json_endpoint::prefill(const prefill_order& order)
+task_of<prefill_response> http_json_endpoint::prefill(const prefill_request& request)
 {
-    auto call = makeCall("/prefill", prefillBody(order));
-    auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.prefill);
-    prefill_outcome outcome;
-    outcome.status = statusOf(answer);
-    if (outcome.status != endpoint_status::Done)
-        co_return outcome;
-    auto body = parseObject(answer.body);
-    if (textOf(body, "tag") != order.tag)
-        outcome.status = endpoint_status::Crossed;
-    outcome.kv = textOf(body, "kv");
-    outcome.promptTokens = numberOf(body, "prompt_tokens");
-    outcome.expires = milliseconds(numberOf(body, "expires_ms"));
-    co_return outcome;
+    auto call = makeCall("/prefill", prefillBody(request));
+    auto response = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.prefill);
+    prefill_response result;
+    result.status = toStatus(response);
+    if (result.status != endpoint_status::Done)
+        co_return result;
+    auto body = parseObject(response.body);
+    if (getString(body, "tag") != request.tag)
+        result.status = endpoint_status::TagMismatch;
+    result.kv = getString(body, "kv");
+    result.promptTokens = getNumber(body, "prompt_tokens");
+    result.expires = milliseconds(getNumber(body, "expires_ms"));
+    co_return result;
 }
 
-task_of<endpoint_status> http_json_endpoint::importKv(const import_order& order)
+task_of<endpoint_status> http_json_endpoint::importKv(const kv_import_request& request)
 {
-    auto call = makeCall("/kv/import", importBody(order));
+    auto call = makeCall("/kv/import", importBody(request));
     http_client client(co_await boost::asio::this_coro::executor);
-    http_answer head;
-    head.failed = co_await client.start(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
-    if (head.failed == call_failure::None)
-        head.failed = co_await client.readHead(m_timeouts.transferProgress);
-    if (head.failed == call_failure::None)
-        head.status = client.status();
-    auto status = statusOf(head);
+    http_answer response;
+    response.failed = co_await client.start(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
+    if (response.failed == call_failure::None)
+        response.failed = co_await client.readHead(m_timeouts.transferProgress);
+    if (response.failed == call_failure::None)
+        response.status = client.status();
+    auto status = toStatus(response);
     if (status != endpoint_status::Done)
         co_return status;
     sse_parser events;
-    std::string piece;
+    std::string chunk;
     while (true) {
-        auto failed = co_await client.readPiece(piece, m_timeouts.transferProgress);
-        if (failed != call_failure::None || piece.empty())
+        auto failed = co_await client.readPiece(chunk, m_timeouts.transferProgress);
+        if (failed != call_failure::None || chunk.empty())
             co_return failed == call_failure::Stalled ? endpoint_status::Stalled : endpoint_status::Broken;
-        events.feed(piece);
+        events.feed(chunk);
         while (auto event = events.next()) {
             auto body = parseObject(*event);
-            if (textOf(body, "tag") != order.tag)
-                co_return endpoint_status::Crossed;
-            if (flagOf(body, "expired"))
+            if (getString(body, "tag") != request.tag)
+                co_return endpoint_status::TagMismatch;
+            if (getFlag(body, "expired"))
                 co_return endpoint_status::Expired;
-            if (flagOf(body, "stalled"))
+            if (getFlag(body, "stalled"))
                 co_return endpoint_status::Stalled;
-            if (flagOf(body, "done"))
+            if (getFlag(body, "done"))
                 co_return endpoint_status::Done;
         }
     }
 }
 
-task_of<endpoint_status> http_json_endpoint::decode(const decode_order& order)
+task_of<endpoint_status> http_json_endpoint::decode(const decode_request& request)
 {
-    auto call = makeCall("/decode", decodeBody(order));
-    m_tag = order.tag;
+    auto call = makeCall("/decode", decodeBody(request));
+    m_tag = request.tag;
     m_events = {};
     m_stream.emplace(co_await boost::asio::this_coro::executor);
-    http_answer head;
-    head.failed = co_await m_stream->start(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
-    if (head.failed == call_failure::None)
-        head.failed = co_await m_stream->readHead(m_timeouts.tokenProgress);
-    if (head.failed == call_failure::None)
-        head.status = m_stream->status();
-    co_return statusOf(head);
+    http_answer response;
+    response.failed = co_await m_stream->start(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
+    if (response.failed == call_failure::None)
+        response.failed = co_await m_stream->readHead(m_timeouts.tokenProgress);
+    if (response.failed == call_failure::None)
+        response.status = m_stream->status();
+    co_return toStatus(response);
 }
 
 task_of<bool> http_json_endpoint::cancel(const std::string& tag)
 {
     auto call = makeCall("/cancel", tagBody(tag));
-    auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
-    co_return answer.succeeded();
+    auto response = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
+    co_return response.succeeded();
 }
 
-task_of<held_items> http_json_endpoint::listRequests()
+task_of<endpoint_request_list> http_json_endpoint::listRequests()
 {
     http_call call;
     call.method = "GET";
     call.target = "/requests";
-    auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
-    held_items held;
-    auto body = parseObject(answer.body);
-    const auto* list = body.if_contains("requests");
-    held.known = answer.succeeded() && list && list->is_array();
-    if (!held.known)
-        co_return held;
-    for (const auto& item : list->get_array()) {
+    auto response = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
+    endpoint_request_list list;
+    auto body = parseObject(response.body);
+    const auto* requests = body.if_contains("requests");
+    list.known = response.succeeded() && requests && requests->is_array();
+    if (!list.known)
+        co_return list;
+    for (const auto& item : requests->get_array()) {
         if (item.is_object())
-            held.items.push_back({ textOf(item.get_object(), "tag"), flagOf(item.get_object(), "attached") });
+            list.items.push_back({ getString(item.get_object(), "tag"), getFlag(item.get_object(), "attached") });
     }
-    co_return held;
+    co_return list;
 }
 
 task_of<endpoint_status> http_json_endpoint::sendOrder(const role_order& order)
 {
     auto call = makeCall("/orders", orderBody(order));
-    auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.order);
-    if (answer.failed == call_failure::None && answer.status == statusConflict)
+    auto response = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.order);
+    if (response.failed == call_failure::None && response.status == statusConflict)
         co_return endpoint_status::Refused;
-    co_return statusOf(answer);
+    co_return toStatus(response);
 }
 
 } // namespace pistachiolatch
--- a/Source/endpoints/http_json_endpoint.h
+++ b/Source/endpoints/http_json_endpoint.h
@@ -4,7 +4,7 @@
 
 namespace pistachiolatch {
 
-/// How long each step of an endpoint may take without progress.
+/// Timeouts of the calls to an endpoint. The progress timeouts start again with each chunk received.
 struct endpoint_timeouts {
     milliseconds connect { 300 };
     milliseconds prefill { 60000 };
@@ -14,7 +14,8 @@
     milliseconds order { 1000 };
 };
 
-/// A model engine behind HTTP/JSON (docs/ENDPOINTS.md). Headers are built here from nothing: no caller's key can pass.
+/// A client of a model engine over HTTP/JSON (docs/ENDPOINTS.md). Sends no headers of callers, so no caller's key
+/// reaches an engine.
 /// Used on one thread.
 class http_json_endpoint {
 public:
@@ -25,18 +26,18 @@
     }
 
     /// Computes a prompt's KV cache.
-    task_of<prefill_outcome> prefill(const prefill_order& order);
-    /// Has the engine fetch a KV cache from another; fails as Stalled when no byte moves for a while.
-    task_of<endpoint_status> importKv(const import_order& order);
-    /// Starts to decode from an imported KV cache.
-    task_of<endpoint_status> decode(const decode_order& order);
-    /// The next token of the running decode. Precondition: decode() returned Done.
+    task_of<prefill_response> prefill(const prefill_request& request);
+    /// Has the engine fetch a KV cache from another engine; returns Stalled if no progress arrives within the timeout.
+    task_of<endpoint_status> importKv(const kv_import_request& request);
+    /// Starts decoding from an imported KV cache.
+    task_of<endpoint_status> decode(const decode_request& request);
+    /// Reads the next token of the running decode. Precondition: decode() returned Done.
     task_of<decoded_token> nextToken();
-    /// Frees everything under a tag. True when the engine confirmed that it holds nothing under it.
+    /// Frees everything held under a tag. Returns true if the engine confirmed that it holds nothing under it.
     task_of<bool> cancel(const std::string& tag);
-    /// What the engine holds.
-    task_of<held_items> listRequests();
-    /// Tells the engine its role, model and version.
+    /// Lists the requests that the engine holds resources for.
+    task_of<endpoint_request_list> listRequests();
+    /// Sets the engine's role, model and version.
     task_of<endpoint_status> sendOrder(const role_order& order);
 
 private:
--- a/Source/endpoints/request_tag.cpp
+++ b/Source/endpoints/request_tag.cpp
@@ -16,7 +16,7 @@
     }
 }
 
-std::string request_tag::text() const
+std::string request_tag::toString() const
 {
     return fmt::format("{}/{}/{}/{}", entry, incarnation, requestId, attempt);
 }
--- a/Source/entry/announcement_relay.h
+++ b/Source/entry/announcement_relay.h
@@ -5,27 +5,28 @@
 
 namespace pistachiolatch {
 
-/// Passes endpoints' announcements on to the owner of their pool, and the latest ones again to a new owner.
+/// Forwards announcements of endpoints to the scheduler that owns their pool. A new owner gets the latest ones again.
 /// Control thread only.
 class announcement_relay {
 public:
     announcement_relay(control_loop& loop, control_session& session);
 
-    void announce(wire::endpoint_announcement announcement);
-    /// Tells new owners what was heard lately.
-    void onShards();
+    void handleAnnouncement(wire::endpoint_announcement announcement);
+    /// Forwards the latest announcements to owners that changed.
+    void handleOwnerChanges();
     void tick(time_point now);
 
 private:
-    struct heard {
+    struct received_announcement {
         wire::endpoint_announcement announcement;
-        time_point at;
+        time_point receivedAt;
     };
-    void forward(const heard& one, const wire::shard_owner& owner);
+    void forward(const received_announcement& received, const wire::shard_owner& owner);
 
     control_loop& m_loop;
     control_session& m_session;
-    std::map<std::string, heard> m_heard;
+    /// The latest announcement of each endpoint, by its id.
+    std::map<std::string, received_announcement> m_latest;
     std::map<std::string, std::uint64_t> m_knownEpochs;
 };
 
--- a/Source/entry/caller_api.cpp
+++ b/Source/entry/caller_api.cpp
@@ -7,18 +7,18 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr std::string_view bearer = "Bearer ";
+    constexpr std::string_view bearerPrefix = "Bearer ";
     constexpr std::string_view servicesPrefix = "/services/";
-    constexpr const char* jsonType = "application/json";
-    constexpr milliseconds noConfigRetry { 2000 };
-    constexpr milliseconds shuttingDownRetry { 1000 };
+    constexpr const char* jsonContentType = "application/json";
+    constexpr milliseconds noConfigRetryDelay { 2000 };
+    constexpr milliseconds shutdownRetryDelay { 1000 };
 
     bool isJson(const http_exchange& exchange)
     {
-        return exchange.header("Content-Type").starts_with(jsonType);
+        return exchange.header("Content-Type").starts_with(jsonContentType);
     }
 
-    std::string modelsJson(const std::vector<std::string>& names)
+    std::string serializeModels(const std::vector<std::string>& names)
     {
         boost::json::array data;
         for (const auto& name : names) {
@@ -40,52 +40,52 @@
 {
 }
 
-std::string caller_api::nextRequestId() const
+std::string caller_api::makeRequestId() const
 {
     constexpr std::size_t idBytes = 12;
     return fmt::format("{}.{}", m_context.node.self().name, randomHex(idBytes));
 }
 
-http_refusal caller_api::refuse(reason why) const
+http_refusal caller_api::makeRefusal(reason cause) const
 {
-    m_context.counters.countRefusal(why);
-    caller_error error { why, run_state::NotRun, why == reason::TooManyConnections ? noConfigRetry : milliseconds(0), "" };
-    http_refusal refusal { httpStatus(why), jsonType, errorBody(error, nextRequestId()), {} };
+    m_context.counters.countRefusal(cause);
+    caller_error error { cause, run_state::NotRun, cause == reason::TooManyConnections ? noConfigRetryDelay : milliseconds(0), "" };
+    http_refusal refusal { httpStatus(cause), jsonContentType, errorBody(error, makeRequestId()), {} };
     if (error.retryAfter.count() > 0)
         refusal.headers.emplace_back("Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count()));
     return refusal;
 }
 
-task_of<void> caller_api::handle(http_exchange& exchange)
+task_of<void> caller_api::handleCallerRequest(http_exchange& exchange)
 {
     using namespace boost::asio::experimental::awaitable_operators;
-    auto requestId = nextRequestId();
-    auto ended = co_await (guardedRoute(exchange, requestId) || exchange.callerGone());
-    constexpr std::size_t callerLeft = 1;
-    if (ended.index() != callerLeft)
+    auto requestId = makeRequestId();
+    auto finished = co_await (routeSafely(exchange, requestId) || exchange.callerGone());
+    constexpr std::size_t callerGoneIndex = 1;
+    if (finished.index() != callerGoneIndex)
         co_return;
-    // The request's coroutine was cancelled; what it held at endpoints is being freed by its holds.
+    // The request's coroutine was cancelled; its guards free what it held at endpoints.
     m_context.counters.countRefusal(reason::CallerGone);
-    m_context.node.journal().note(requestId, "caller_gone", {});
+    m_context.node.journal().record(requestId, "caller_gone", {});
     exchange.abortStream();
 }
 
-task_of<void> caller_api::guardedRoute(http_exchange& exchange, const std::string& requestId)
+task_of<void> caller_api::routeSafely(http_exchange& exchange, const std::string& requestId)
 {
-    std::string fault;
+    std::string exceptionText;
     try {
         co_await route(exchange, requestId);
     } catch (const boost::system::system_error& error) {
         if (error.code() == boost::asio::error::operation_aborted)
-            throw; // The caller left; unwinding frees what the request held.
-        fault = error.what();
+            throw; // The caller disconnected; unwinding frees what the request held.
+        exceptionText = error.what();
     } catch (const std::exception& error) {
-        fault = error.what();
+        exceptionText = error.what();
     }
-    if (fault.empty())
+    if (exceptionText.empty())
         co_return;
-    // Without an answer the caller would wait on an open connection for ever. The other requests go on.
-    logEvent("request_fault", { { "request", requestId }, { "error", fault } });
+    // Without a response the caller would wait forever on an open connection. Other requests are unaffected.
+    logEvent("request_fault", { { "request", requestId }, { "error", exceptionText } });
     caller_error internal { reason::Internal, run_state::MayHaveRun, milliseconds(0), "" };
     co_await sendError(exchange, internal, requestId, m_context.counters);
     exchange.abortStream();
@@ -95,7 +95,7 @@
 {
     caller_identity caller;
     caller.requestId = requestId;
-    auto error = identify(exchange, caller);
+    auto error = authenticate(exchange, caller);
     if (error) {
         co_await sendError(exchange, *error, requestId, m_context.counters);
         co_return;
@@ -104,7 +104,7 @@
     auto method = exchange.method();
     bool chat = path == "/v1/chat/completions";
     if (path.starts_with(servicesPrefix)) {
-        co_await m_services.run(exchange, caller);
+        co_await m_services.handle(exchange, caller);
     } else if (path == "/v1/models" && method == "GET") {
         co_await listModels(exchange, caller);
     } else if ((chat || path == "/v1/completions") && method == "POST") {
@@ -121,18 +121,18 @@
     }
 }
 
-std::optional<caller_error> caller_api::identify(const http_exchange& exchange, caller_identity& caller) const
+std::optional<caller_error> caller_api::authenticate(const http_exchange& exchange, caller_identity& caller) const
 {
     if (m_context.draining)
-        return caller_error { reason::ShuttingDown, run_state::NotRun, shuttingDownRetry, "" };
+        return caller_error { reason::ShuttingDown, run_state::NotRun, shutdownRetryDelay, "" };
     // Without a lease this VM may have missed a withdrawn key or a changed limit.
     if (!m_context.node.ready())
-        return caller_error { reason::NoConfig, run_state::NotRun, noConfigRetry, "" };
+        return caller_error { reason::NoConfig, run_state::NotRun, noConfigRetryDelay, "" };
     auto header = exchange.header("Authorization");
-    if (!header.starts_with(bearer) || header.size() == bearer.size())
+    if (!header.starts_with(bearerPrefix) || header.size() == bearerPrefix.size())
         return caller_error { reason::MissingKey, run_state::NotRun, milliseconds(0), "" };
     caller.config = m_context.node.config();
-    const auto* key = caller.config->keyByDigest(sha256Hex(std::string_view(header).substr(bearer.size())));
+    const auto* key = caller.config->keyByDigest(sha256Hex(std::string_view(header).substr(bearerPrefix.size())));
     if (!key)
         return caller_error { reason::UnknownKey, run_state::NotRun, milliseconds(0), "" };
     if (key->record.withdrawn)
@@ -149,18 +149,18 @@
         if (organisation && organisation->models.count(name))
             names.push_back(name);
     }
-    co_await exchange.respond(200, jsonType, modelsJson(names));
+    co_await exchange.respond(200, jsonContentType, serializeModels(names));
 }
 
-task_of<void> caller_api::handleEndpoint(http_exchange& exchange)
+task_of<void> caller_api::handleEndpointRequest(http_exchange& exchange)
 {
     if (exchange.path() != "/announce" || exchange.method() != "POST") {
-        co_await exchange.respond(404, jsonType, R"({"error":"use POST /announce"})");
+        co_await exchange.respond(404, jsonContentType, R"({"error":"use POST /announce"})");
         co_return;
     }
     if (!m_context.node.ready()) {
-        // The endpoint announces itself through another VM instead of being heard by one that is cut off.
-        co_await exchange.respond(503, jsonType, R"({"error":"this VM has no lease; announce to another"})");
+        // The refusal makes the endpoint announce itself through a VM that is connected to control.
+        co_await exchange.respond(503, jsonContentType, R"({"error":"this VM has no lease; announce to another"})");
         co_return;
     }
     auto announcement = parseAnnouncement(exchange.message().body());
@@ -169,11 +169,11 @@
         boost::json::object problem;
         problem["error"] = announcement.error().message;
         auto body = boost::json::serialize(problem);
-        co_await exchange.respond(400, jsonType, body);
+        co_await exchange.respond(400, jsonContentType, body);
         co_return;
     }
-    m_context.loop.post([this, value = announcement.value()] { m_context.node.announcements().announce(value); });
-    co_await exchange.respond(200, jsonType, R"({"accepted":true})");
+    m_context.loop.post([this, value = announcement.value()] { m_context.node.announcements().handleAnnouncement(value); });
+    co_await exchange.respond(200, jsonContentType, R"({"accepted":true})");
 }
 
 } // namespace pistachiolatch
--- a/Source/entry/caller_api.h
+++ b/Source/entry/caller_api.h
@@ -5,28 +5,29 @@
 
 namespace pistachiolatch {
 
-/// The callers' interface: keys, routes, errors. Handlers run on traffic threads.
+/// The HTTP API for callers and endpoints: authentication, routing and errors. Handlers run on traffic threads.
 class caller_api {
 public:
     explicit caller_api(entry_context& context);
 
-    /// Answers one request of a caller.
-    task_of<void> handle(http_exchange& exchange);
-    /// Answers one request of an endpoint (POST /announce).
-    task_of<void> handleEndpoint(http_exchange& exchange);
-    /// The answer to a request that could not be read.
-    http_refusal refuse(reason why) const;
+    /// Handles one request of a caller.
+    task_of<void> handleCallerRequest(http_exchange& exchange);
+    /// Handles one request of an endpoint (POST /announce).
+    task_of<void> handleEndpointRequest(http_exchange& exchange);
+    /// Makes the response to a request that is refused before it is parsed, and counts it.
+    http_refusal makeRefusal(reason cause) const;
 
 private:
-    /// Routes a request and turns a fault of this program into an answer.
-    task_of<void> guardedRoute(http_exchange& exchange, const std::string& requestId);
+    /// Routes a request and answers an unexpected exception with an internal error.
+    task_of<void> routeSafely(http_exchange& exchange, const std::string& requestId);
     task_of<void> route(http_exchange& exchange, const std::string& requestId);
-    std::optional<caller_error> identify(const http_exchange& exchange, caller_identity& caller) const;
+    /// Checks the key and fills in the caller. Returns the error if the request is not accepted.
+    std::optional<caller_error> authenticate(const http_exchange& exchange, caller_identity& caller) const;
     task_of<void> listModels(http_exchange& exchange, const caller_identity& caller);
-    std::string nextRequestId() const;
+    std::string makeRequestId() const;
 
     entry_context& m_context;
-    service_calls m_services;
+    service_router m_services;
 };
 
 } // namespace pistachiolatch
--- a/Source/entry/caller_errors.cpp
+++ b/Source/entry/caller_errors.cpp
@@ -19,10 +19,10 @@
 std::string errorBody(const caller_error& error, const std::string& requestId)
 {
     boost::json::object inner;
-    inner["message"] = error.detail.empty() ? std::string(reasonAdvice(error.why)) : error.detail;
-    inner["type"] = errorType(httpStatus(error.why));
-    inner["code"] = std::string(reasonName(error.why));
-    inner["run"] = std::string(runStateName(error.run));
+    inner["message"] = error.detail.empty() ? std::string(reasonAdvice(error.cause)) : error.detail;
+    inner["type"] = errorType(httpStatus(error.cause));
+    inner["code"] = std::string(reasonName(error.cause));
+    inner["run"] = std::string(runStateName(error.runState));
     inner["request_id"] = requestId;
     if (error.retryAfter.count() > 0)
         inner["retry_after_ms"] = error.retryAfter.count();
@@ -35,11 +35,11 @@
 {
     if (exchange.answered())
         co_return;
-    counters.countRefusal(error.why);
+    counters.countRefusal(error.cause);
     http_headers headers { { "X-Request-Id", requestId } };
     if (error.retryAfter.count() > 0)
         headers.emplace_back("Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count()));
-    co_await exchange.respond(httpStatus(error.why), "application/json", errorBody(error, requestId), headers);
+    co_await exchange.respond(httpStatus(error.cause), "application/json", errorBody(error, requestId), headers);
 }
 
 } // namespace pistachiolatch
--- a/Source/entry/caller_errors.h
+++ b/Source/entry/caller_errors.h
@@ -5,19 +5,19 @@
 
 namespace pistachiolatch {
 
-/// A refusal or failure as a caller is told of it.
+/// A refusal or failure as it is reported to the caller.
 struct caller_error {
-    reason why = reason::Internal;
-    run_state run = run_state::NotRun;
-    /// When coming back makes sense; zero leaves the header out.
+    reason cause = reason::Internal;
+    run_state runState = run_state::NotRun;
+    /// When a retry makes sense; zero omits the Retry-After header.
     milliseconds retryAfter { 0 };
-    /// Replaces the reason's general advice.
+    /// Overrides the reason's default message if not empty.
     std::string detail;
 };
 
-/// The error's body in the shape of the OpenAI interface, with the run state and the request id.
+/// Formats the error as in the OpenAI API, extended by the run state and the request id.
 std::string errorBody(const caller_error& error, const std::string& requestId);
-/// Sends an error as the answer, unless an answer was begun. Counts it.
+/// Sends and counts an error response. Does nothing if a response has been started.
 task_of<void> sendError(http_exchange& exchange, const caller_error& error, const std::string& requestId, metrics& counters);
 
 } // namespace pistachiolatch
--- a/Source/entry/completion_format.cpp
+++ b/Source/entry/completion_format.cpp
@@ -8,9 +8,9 @@
 
 namespace {
     constexpr std::size_t bytesPerToken = 4;
-    constexpr std::int64_t mostTokens = 1'000'000;
+    constexpr std::int64_t maxTokensLimit = 1'000'000;
 
-    result<std::string> promptOfChat(const json::object& body)
+    result<std::string> buildChatPrompt(const json::object& body)
     {
         const auto* messages = body.if_contains("messages");
         if (!messages || !messages->is_array() || messages->get_array().empty())
@@ -26,29 +26,29 @@
         return prompt;
     }
 
-    result<std::uint32_t> maxTokensOf(const json::object& body)
+    result<std::uint32_t> parseMaxTokens(const json::object& body)
     {
         const auto* value = body.if_contains("max_completion_tokens");
         if (!value)
             value = body.if_contains("max_tokens");
         if (!value || value->is_null())
             return 0U;
-        if (!value->is_int64() || value->get_int64() < 1 || value->get_int64() > mostTokens)
-            return failure { fmt::format("max_tokens must be an integer from 1 to {}", mostTokens) };
+        if (!value->is_int64() || value->get_int64() < 1 || value->get_int64() > maxTokensLimit)
+            return failure { fmt::format("max_tokens must be an integer from 1 to {}", maxTokensLimit) };
         return static_cast<std::uint32_t>(value->get_int64());
     }
 
-    json::object head(const completion_identity& identity, const char* chatObject, const char* textObject)
+    json::object makeResponse(const completion_metadata& metadata, const char* chatObject, const char* textObject)
     {
         json::object body;
-        body["id"] = identity.requestId;
-        body["object"] = identity.chat ? chatObject : textObject;
-        body["created"] = identity.created;
-        body["model"] = identity.model;
+        body["id"] = metadata.requestId;
+        body["object"] = metadata.chat ? chatObject : textObject;
+        body["created"] = metadata.created;
+        body["model"] = metadata.model;
         return body;
     }
 
-    json::object usageObject(const completion_usage& usage)
+    json::object makeUsage(const completion_usage& usage)
     {
         json::object body;
         body["prompt_tokens"] = usage.promptTokens;
@@ -57,22 +57,22 @@
         return body;
     }
 
-    json::object choice(const char* field, json::value value, const std::string& finishReason)
+    json::object makeChoice(const char* field, json::value value, const std::string& finishReason)
     {
-        json::object one;
-        one["index"] = 0;
-        one[field] = std::move(value);
+        json::object choice;
+        choice["index"] = 0;
+        choice[field] = std::move(value);
         if (finishReason.empty())
-            one["finish_reason"] = nullptr;
+            choice["finish_reason"] = nullptr;
         else
-            one["finish_reason"] = finishReason;
-        return one;
+            choice["finish_reason"] = finishReason;
+        return choice;
     }
 
-    std::string withChoice(json::object body, json::object one)
+    std::string serializeWithChoice(json::object body, json::object choice)
     {
         json::array choices;
-        choices.push_back(std::move(one));
+        choices.push_back(std::move(choice));
         body["choices"] = std::move(choices);
         return json::serialize(body);
     }
@@ -103,7 +103,7 @@
         return failure { "stream must be true or false" };
     request.stream = stream && stream->get_bool();
     if (chat) {
-        BOOST_OUTCOME_TRY(request.prompt, promptOfChat(body));
+        BOOST_OUTCOME_TRY(request.prompt, buildChatPrompt(body));
     } else {
         const auto* prompt = body.if_contains("prompt");
         if (!prompt || !prompt->is_string() || prompt->get_string().empty())
@@ -113,42 +113,42 @@
     const auto* count = body.if_contains("n");
     if (count && (!count->is_int64() || count->get_int64() != 1))
         return failure { "n must be 1: this router gives one answer to one request" };
-    BOOST_OUTCOME_TRY(request.maxTokens, maxTokensOf(body));
+    BOOST_OUTCOME_TRY(request.maxTokens, parseMaxTokens(body));
     for (const char* known : { "model", "stream", "prompt", "messages", "max_tokens", "max_completion_tokens", "n" })
         body.erase(known);
     request.parameters = json::serialize(body);
     return request;
 }
 
-std::string formatPiece(const completion_identity& identity, const std::string& text)
+std::string formatChunk(const completion_metadata& metadata, const std::string& text)
 {
-    auto body = head(identity, "chat.completion.chunk", "text_completion");
-    if (!identity.chat)
-        return withChoice(std::move(body), choice("text", json::string(text), ""));
+    auto body = makeResponse(metadata, "chat.completion.chunk", "text_completion");
+    if (!metadata.chat)
+        return serializeWithChoice(std::move(body), makeChoice("text", json::string(text), ""));
     json::object delta;
     delta["content"] = text;
-    return withChoice(std::move(body), choice("delta", std::move(delta), ""));
+    return serializeWithChoice(std::move(body), makeChoice("delta", std::move(delta), ""));
 }
 
-std::string formatLastPiece(const completion_identity& identity, const std::string& finishReason, const completion_usage& usage)
+std::string formatFinalChunk(const completion_metadata& metadata, const std::string& finishReason, const completion_usage& usage)
 {
-    auto body = head(identity, "chat.completion.chunk", "text_completion");
-    body["usage"] = usageObject(usage);
-    if (!identity.chat)
-        return withChoice(std::move(body), choice("text", json::string(), finishReason));
-    return withChoice(std::move(body), choice("delta", json::object(), finishReason));
+    auto body = makeResponse(metadata, "chat.completion.chunk", "text_completion");
+    body["usage"] = makeUsage(usage);
+    if (!metadata.chat)
+        return serializeWithChoice(std::move(body), makeChoice("text", json::string(), finishReason));
+    return serializeWithChoice(std::move(body), makeChoice("delta", json::object(), finishReason));
 }
 
-std::string formatWhole(const completion_identity& identity, const std::string& text, const std::string& finishReason, const completion_usage& usage)
+std::string formatCompletion(const completion_metadata& metadata, const std::string& text, const std::string& finishReason, const completion_usage& usage)
 {
-    auto body = head(identity, "chat.completion", "text_completion");
-    body["usage"] = usageObject(usage);
-    if (!identity.chat)
-        return withChoice(std::move(body), choice("text", json::string(text), finishReason));
+    auto body = makeResponse(metadata, "chat.completion", "text_completion");
+    body["usage"] = makeUsage(usage);
+    if (!metadata.chat)
+        return serializeWithChoice(std::move(body), makeChoice("text", json::string(text), finishReason));
     json::object message;
     message["role"] = "assistant";
     message["content"] = text;
-    return withChoice(std::move(body), choice("message", std::move(message), finishReason));
+    return serializeWithChoice(std::move(body), makeChoice("message", std::move(message), finishReason));
 }
 
 } // namespace pistachiolatch
--- a/Source/entry/completion_format.h
+++ b/Source/entry/completion_format.h
@@ -5,26 +5,26 @@
 
 namespace pistachiolatch {
 
-/// A completion as a caller asked for it.
+/// A caller's completion request.
 struct completion_request {
     bool chat = false;
     bool stream = false;
     std::string model;
     std::string prompt;
-    /// Zero when the caller left it to the model's default.
+    /// Zero selects the model's default.
     std::uint32_t maxTokens = 0;
-    /// Everything else that the caller set, as a JSON object; passed on to the engine.
+    /// All other parameters, as a JSON object that is passed to the engine.
     std::string parameters;
 };
 
-/// How many tokens a prompt has at most, by its bytes; the engine's own count corrects it afterwards.
+/// Estimates the number of prompt tokens from the prompt's size in bytes. The engine's own count corrects it afterwards.
 std::uint32_t estimateTokens(const std::string& prompt);
 
-/// Reads the body of /v1/completions or /v1/chat/completions. Errors: what is malformed.
+/// Parses the body of /v1/completions or /v1/chat/completions. Errors: what is malformed.
 result<completion_request> parseCompletion(const std::string& body, bool chat);
 
-/// What stands in each part of an answer.
-struct completion_identity {
+/// The fields common to all chunks of a response.
+struct completion_metadata {
     std::string requestId;
     std::string model;
     bool chat = false;
@@ -36,11 +36,11 @@
     std::uint32_t completionTokens = 0;
 };
 
-/// One piece of a streamed answer, as JSON.
-std::string formatPiece(const completion_identity& identity, const std::string& text);
-/// The last piece, with the reason to stop and the usage.
-std::string formatLastPiece(const completion_identity& identity, const std::string& finishReason, const completion_usage& usage);
-/// A whole answer, as JSON.
-std::string formatWhole(const completion_identity& identity, const std::string& text, const std::string& finishReason, const completion_usage& usage);
+/// Formats one chunk of a streamed response as JSON.
+std::string formatChunk(const completion_metadata& metadata, const std::string& text);
+/// Formats the final chunk, with the finish reason and the usage.
+std::string formatFinalChunk(const completion_metadata& metadata, const std::string& finishReason, const completion_usage& usage);
+/// Formats a complete response as JSON.
+std::string formatCompletion(const completion_metadata& metadata, const std::string& text, const std::string& finishReason, const completion_usage& usage);
 
 } // namespace pistachiolatch
--- a/Source/entry/engine_cleanup.h
+++ b/Source/entry/engine_cleanup.h
@@ -4,16 +4,16 @@
 
 namespace pistachiolatch {
 
-/// What one attempt holds at an endpoint. Unless released, everything under its tag is cancelled there until the
-/// endpoint confirms it, whatever way the attempt ends: a failure, or a caller that left in the middle.
-class engine_hold {
+/// Frees what one attempt holds at an endpoint. Unless released, the destructor cancels everything under the tag and
+/// retries until the endpoint confirms it. This covers failures as well as callers that disconnect.
+class engine_request_guard {
 public:
-    engine_hold(entry_context& context, boost::asio::any_io_executor executor, std::string address, std::string tag);
-    ~engine_hold();
-    engine_hold(const engine_hold&) = delete;
-    engine_hold& operator=(const engine_hold&) = delete;
+    engine_request_guard(entry_context& context, boost::asio::any_io_executor executor, std::string address, std::string tag);
+    ~engine_request_guard();
+    engine_request_guard(const engine_request_guard&) = delete;
+    engine_request_guard& operator=(const engine_request_guard&) = delete;
 
-    /// The endpoint holds nothing for the attempt any more.
+    /// Skips the cancellation: the endpoint no longer holds anything for the attempt.
     void release() { m_released = true; }
 
 private:
@@ -24,19 +24,19 @@
     bool m_released = false;
 };
 
-/// The end of an attempt's booking at the pool's owner. Reported once, however the attempt ends.
-class booking_hold {
+/// Ends an attempt's reservation: reports the end to the pool's owner exactly once, however the attempt ends.
+class reservation_guard {
 public:
-    booking_hold(entry_context& context, wire::progress report)
+    reservation_guard(entry_context& context, wire::progress report)
         : m_context(context)
         , m_report(std::move(report))
     {
     }
-    ~booking_hold() { reportProgress(m_context, m_report); }
-    booking_hold(const booking_hold&) = delete;
-    booking_hold& operator=(const booking_hold&) = delete;
+    ~reservation_guard() { reportProgress(m_context, m_report); }
+    reservation_guard(const reservation_guard&) = delete;
+    reservation_guard& operator=(const reservation_guard&) = delete;
 
-    /// What will be reported at the end.
+    /// The report that the destructor sends.
     wire::progress& report() { return m_report; }
 
 private:
--- a/Source/entry/entry_context.h
+++ b/Source/entry/entry_context.h
@@ -6,34 +6,34 @@
 
 namespace pistachiolatch {
 
-/// What the traffic side of an entry shares. The references outlive all traffic.
+/// State shared by all requests of an entry. The references outlive all requests.
 struct entry_context {
     control_loop& loop;
     entry_node& node;
     metrics& counters;
     const clock_source& clock;
     const entry_settings& settings;
-    /// Work that goes on after its caller was answered or left: cancels and calls that must run to their end.
-    std::atomic<unsigned> background { 0 };
+    /// Number of tasks that outlive their request: cancellations, and calls that must not be interrupted.
+    std::atomic<unsigned> backgroundTasks { 0 };
     std::atomic<bool> draining { false };
 };
 
-/// A caller that showed a valid key.
+/// An authenticated caller.
 struct caller_identity {
     std::string requestId;
     std::string organisation;
     std::shared_ptr<const config_view> config;
 };
 
-/// Counts background work for as long as it lives.
+/// Counts as a background task during its lifetime, so that a shutdown waits for it.
 class background_work {
 public:
     explicit background_work(entry_context& context)
         : m_context(context)
     {
-        ++m_context.background;
+        ++m_context.backgroundTasks;
     }
-    ~background_work() { --m_context.background; }
+    ~background_work() { --m_context.backgroundTasks; }
     background_work(const background_work&) = delete;
     background_work& operator=(const background_work&) = delete;
 
@@ -41,11 +41,11 @@
     entry_context& m_context;
 };
 
-/// Takes an organisation's tokens; waits for them as long as the settings allow.
+/// Acquires tokens of the organisation's rate limit; waits for them as long as the settings allow.
 task_of<limit_result> acquireTokens(entry_context& context, const std::string& organisation, std::uint64_t tokens);
-/// Gets endpoints from the pool's owner.
+/// Requests endpoints from the pool's owner. The result may be a refusal.
 task_of<wire::placement> acquirePlacement(entry_context& context, wire::place_request request);
-/// Tells the pool's owner a stage.
+/// Reports a request's stage to the pool's owner.
 void reportProgress(entry_context& context, wire::progress report);
 
 } // namespace pistachiolatch
--- a/Source/entry/entry_node.cpp
+++ b/Source/entry/entry_node.cpp
@@ -2,22 +2,22 @@
 
 namespace pistachiolatch {
 
-entry_node::entry_node(control_loop& loop, const wire_settings& settings, const clock_source& clock, metrics& counters, milliseconds limitPatience)
+entry_node::entry_node(control_loop& loop, const wire_settings& settings, const clock_source& clock, metrics& counters, milliseconds limitTimeout)
     : m_loop(loop)
     , m_session(loop, settings, wire::PROCESS_ENTRY, clock,
           { {}, [this] {
-               m_limits.onShards();
-               m_announcements.onShards();
-               m_placements.onShards(); },
+               m_limits.handleOwnerChanges();
+               m_announcements.handleOwnerChanges();
+               m_placements.handleOwnerChanges(); },
               [this] { std::atomic_store(&m_poison, std::make_shared<const poison_list>(m_session.poison())); }, {} })
-    , m_limits(loop, m_session, limitPatience)
+    , m_limits(loop, m_session, limitTimeout)
     , m_placements(loop, m_session, counters)
     , m_announcements(loop, m_session)
     , m_ledger(loop, m_session)
 {
 }
 
-void entry_node::onMessage(const wire::envelope& message)
+void entry_node::handleMessage(const wire::envelope& message)
 {
     if (message.has_grant()) {
         m_session.onGrant(message.grant());
@@ -44,7 +44,7 @@
 
 void entry_node::leave()
 {
-    m_limits.drain();
+    m_limits.refundUnused();
     m_session.leave();
 }
 
--- a/Source/entry/entry_node.h
+++ b/Source/entry/entry_node.h
@@ -8,18 +8,18 @@
 
 namespace pistachiolatch {
 
-/// The control side of an entry: its session and its dealings with schedulers and control.
+/// The control side of an entry: the session with control and the clients of schedulers, limits and the ledger.
 /// Thread safety: control thread only, except for ready(), config(), isPoison() and journal().
 class entry_node {
 public:
-    entry_node(control_loop& loop, const wire_settings& settings, const clock_source& clock, metrics& counters, milliseconds limitPatience);
+    entry_node(control_loop& loop, const wire_settings& settings, const clock_source& clock, metrics& counters, milliseconds limitTimeout);
 
-    void onMessage(const wire::envelope& message);
+    void handleMessage(const wire::envelope& message);
     void tick();
-    /// Gives back what is held ahead and tells control that this process stops.
+    /// Returns unused granted tokens and tells control that this process stops.
     void leave();
 
-    /// Whether new work may be taken. Thread safety: any thread.
+    /// Whether new requests may be accepted. Thread safety: any thread.
     bool ready() const { return m_session.leaseValid(); }
     std::shared_ptr<const config_view> config() const { return m_session.config(); }
     /// Whether control has recorded enough crashes for this request to block it. Thread safety: any thread.
--- a/Source/entry/entry_settings.h
+++ b/Source/entry/entry_settings.h
@@ -5,7 +5,6 @@
 
 namespace pistachiolatch {
 
-/// The settings of an entry.
 struct entry_settings {
     wire_settings wire;
     std::string adminListen;
@@ -14,13 +13,13 @@
     unsigned threads = 2;
     std::string endpointsListen;
     endpoint_timeouts timeouts;
-    /// How long a request waits for its organisation's tokens before it is refused.
-    milliseconds limitPatience { 1500 };
-    /// How long requests in hand may take to end at a shutdown.
+    /// How long a request waits for tokens of its organisation's rate limit before it is refused.
+    milliseconds limitTimeout { 1500 };
+    /// How long a shutdown waits for active requests.
     milliseconds drainTimeout { 600000 };
 };
 
-/// Reads all settings of an entry. Errors: every problem found, one a line.
+/// Reads all settings of an entry. Errors: every problem found, one per line.
 result<void> readEntrySettings(settings_reader& reader, entry_settings& settings);
 
 } // namespace pistachiolatch
--- a/Source/entry/limit_client.h
+++ b/Source/entry/limit_client.h
@@ -7,47 +7,47 @@
 
 namespace pistachiolatch {
 
-/// Whether a request may spend its tokens.
+/// The result of acquiring tokens.
 struct limit_result {
     bool granted = false;
-    reason why = reason::Internal;
+    reason cause = reason::Internal;
     milliseconds retryAfter { 0 };
 };
 
-/// Gets tokens from the owners of limits, ahead of need where demand is steady. Control thread only.
+/// Acquires tokens from the owners of rate limits, and prefetches them where demand is steady. Control thread only.
 class limit_client {
 public:
-    limit_client(control_loop& loop, control_session& session, milliseconds patience);
+    limit_client(control_loop& loop, control_session& session, milliseconds waitTimeout);
 
-    /// Takes tokens for one request; the answer may come later.
-    void acquire(const std::string& organisation, std::uint64_t tokens, std::function<void(limit_result)> answer);
-    /// Gives back tokens that a request was charged and did not use.
-    void giveBack(const std::string& organisation, std::uint64_t tokens);
+    /// Acquires tokens for one request. The callback may be called later.
+    void acquire(const std::string& organisation, std::uint64_t tokens, std::function<void(limit_result)> callback);
+    /// Refunds tokens that a request was charged and did not use.
+    void refund(const std::string& organisation, std::uint64_t tokens);
     void tick(time_point now);
-    /// Asks again where the owner changed.
-    void onShards();
-    /// Gives back everything held ahead.
-    void drain();
+    /// Resends pending requests to owners that changed.
+    void handleOwnerChanges();
+    /// Refunds all prefetched tokens.
+    void refundUnused();
 
 private:
-    struct question {
+    struct pending_request {
         std::uint64_t id;
         std::string organisation;
         std::uint64_t tokens;
-        std::uint64_t askedEpoch;
+        std::uint64_t requestEpoch;
         time_point deadline;
-        std::function<void(limit_result)> answer;
+        std::function<void(limit_result)> callback;
     };
-    void ask(question& one);
-    void onReply(std::uint64_t id, time_point askedAt, const wire::envelope* reply);
-    void finish(std::uint64_t id, limit_result verdict);
-    void sendBack(const returned_tokens& back);
+    void sendRequest(pending_request& pending);
+    void onReply(std::uint64_t id, time_point sentAt, const wire::envelope* reply);
+    void complete(std::uint64_t id, limit_result result);
+    void sendRefund(const returned_tokens& returned);
 
     control_loop& m_loop;
     control_session& m_session;
-    milliseconds m_patience;
+    milliseconds m_waitTimeout;
     grant_cache m_cache;
-    std::map<std::uint64_t, question> m_questions;
+    std::map<std::uint64_t, pending_request> m_pending;
     std::uint64_t m_lastId = 0;
 };
 
--- a/Source/entry/main.cpp
+++ b/Source/entry/main.cpp
@@ -14,8 +14,8 @@
         {
             addCore("pistachiolatch-entry", settings.wire, settings.threads);
             auto& loop = registry.find<control_loop>(loopService);
-            m_node = std::make_unique<entry_node>(loop, settings.wire, clock, counters, settings.limitPatience);
-            loop.onMessage([this](const wire::envelope& message) { m_node->onMessage(message); });
+            m_node = std::make_unique<entry_node>(loop, settings.wire, clock, counters, settings.limitTimeout);
+            loop.onMessage([this](const wire::envelope& message) { m_node->handleMessage(message); });
             loop.onTick([this] { m_node->tick(); });
             m_context = std::make_unique<entry_context>(loop, *m_node, counters, clock, settings);
             m_api = std::make_unique<caller_api>(*m_context);
@@ -25,7 +25,8 @@
 
         void stop()
         {
-            // Unready first, so that the balancer sends no more; then what is in hand is finished, then leases go back.
+            // Becomes unready first, so that the load balancer sends no more requests. Active requests then complete before
+            // this process leaves control.
             m_context->draining = true;
             m_callers->stopAccepting();
             waitUntilIdle();
@@ -37,28 +38,28 @@
         void addServers()
         {
             auto& threads = registry.find<traffic_threads>(trafficService);
-            auto refuse = [this](reason why) { return m_api->refuse(why); };
+            auto refuse = [this](reason cause) { return m_api->makeRefusal(cause); };
             m_callers = std::make_unique<http_server>(
-                threads, settings.callerLimits, [this](http_exchange& exchange) { return m_api->handle(exchange); }, refuse);
+                threads, settings.callerLimits, [this](http_exchange& exchange) { return m_api->handleCallerRequest(exchange); }, refuse);
             m_endpoints = std::make_unique<http_server>(
-                threads, http_limits {}, [this](http_exchange& exchange) { return m_api->handleEndpoint(exchange); }, refuse);
+                threads, http_limits {}, [this](http_exchange& exchange) { return m_api->handleEndpointRequest(exchange); }, refuse);
             addListener("callers", *m_callers, settings.callersListen, false);
             addListener("endpoints", *m_endpoints, settings.endpointsListen, true);
-            addAdmin(settings.adminListen, { [this] { return notReadyBecause(); }, [this] { refreshGauges(); } });
+            addAdmin(settings.adminListen, { [this] { return notReadyReason(); }, [this] { updateGauges(); } });
         }
 
-        std::string notReadyBecause() const
+        std::string notReadyReason() const
         {
             if (m_context->draining)
                 return "shutting down";
             return m_node->ready() ? "" : "no lease from control";
         }
 
-        void refreshGauges()
+        void updateGauges()
         {
             counters.gauge("active_requests", m_callers->activeRequests());
             counters.gauge("connections", m_callers->connections());
-            counters.gauge("background_work", m_context->background);
+            counters.gauge("background_work", m_context->backgroundTasks);
             counters.gauge("revision", static_cast<double>(m_node->config()->revision()));
         }
 
@@ -66,8 +67,8 @@
         {
             constexpr milliseconds pollInterval { 20 };
             auto deadline = clock.now() + settings.drainTimeout;
-            // Idle connections end by themselves once draining; a request already on its way on one is answered first.
-            while (clock.now() < deadline && (m_callers->connections() > 0 || m_context->background > 0))
+            // Idle connections close by themselves while draining; a request already in transit on one is answered first.
+            while (clock.now() < deadline && (m_callers->connections() > 0 || m_context->backgroundTasks > 0))
                 std::this_thread::sleep_for(pollInterval);
             logEvent("drained", { { "left", m_callers->activeRequests() } });
         }
--- a/Source/entry/model_attempt.cpp
+++ b/Source/entry/model_attempt.cpp
@@ -6,7 +6,7 @@
 namespace pistachiolatch {
 
 namespace {
-    reason reasonOf(endpoint_status status, bool decoding)
+    reason toReason(endpoint_status status, bool decoding)
     {
         switch (status) {
         case endpoint_status::NotSent:
@@ -15,7 +15,7 @@
             return reason::EndpointRefused;
         case endpoint_status::Expired:
             return reason::KvExpired;
-        case endpoint_status::Crossed:
+        case endpoint_status::TagMismatch:
             return reason::AnswerCrossed;
         case endpoint_status::Stalled:
             return decoding ? reason::DecodeLost : reason::TransferStalled;
@@ -37,17 +37,17 @@
 {
 }
 
-attempt_end model_attempt::failed(endpoint_status status, const std::string& endpoint, bool afterPrefill) const
+attempt_result model_attempt::makeFailure(endpoint_status status, const std::string& endpoint, bool afterPrefill) const
 {
-    attempt_end end;
-    end.why = reasonOf(status, false);
-    end.endpoint = endpoint;
-    end.suspectedCrash = status == endpoint_status::Broken;
-    end.prefillWasted = afterPrefill;
-    return end;
+    attempt_result outcome;
+    outcome.cause = toReason(status, false);
+    outcome.endpoint = endpoint;
+    outcome.suspectedCrash = status == endpoint_status::Broken;
+    outcome.prefillWasted = afterPrefill;
+    return outcome;
 }
 
-void model_attempt::report(wire::progress_stage stage)
+void model_attempt::reportStage(wire::progress_stage stage)
 {
     wire::progress progress;
     progress.set_shard(m_placement.shard());
@@ -57,129 +57,129 @@
     reportProgress(m_context, std::move(progress));
 }
 
-task_of<attempt_end> model_attempt::run(model_output& output, token_sink sink)
+task_of<attempt_result> model_attempt::run(model_output& output, token_sink sink)
 {
     auto executor = co_await boost::asio::this_coro::executor;
-    auto tag = m_tag.text();
-    wire::progress last;
-    last.set_shard(m_placement.shard());
-    last.set_request_id(m_tag.requestId);
-    last.set_attempt(m_tag.attempt);
-    last.set_stage(wire::STAGE_FAILED);
-    last.set_reason(std::string(reasonName(reason::CallerGone)));
-    // Declared in this order: the endpoints are told to let go before the booking is given back.
-    booking_hold booking(m_context, std::move(last));
-    engine_hold decodeHold(m_context, executor, m_placement.decode_address(), tag);
-    attempt_end end;
+    auto tag = m_tag.toString();
+    wire::progress finalReport;
+    finalReport.set_shard(m_placement.shard());
+    finalReport.set_request_id(m_tag.requestId);
+    finalReport.set_attempt(m_tag.attempt);
+    finalReport.set_stage(wire::STAGE_FAILED);
+    finalReport.set_reason(std::string(reasonName(reason::CallerGone)));
+    // The order of declaration matters: the endpoints are told to free resources before the reservation ends.
+    reservation_guard reservation(m_context, std::move(finalReport));
+    engine_request_guard decodeGuard(m_context, executor, m_placement.decode_address(), tag);
+    attempt_result outcome;
     {
-        engine_hold prefillHold(m_context, executor, m_placement.prefill_address(), tag);
-        end = co_await prefillAndTransfer(output);
-        // A transfer that came to its end freed the source.
-        if (end.whole)
-            prefillHold.release();
+        engine_request_guard prefillGuard(m_context, executor, m_placement.prefill_address(), tag);
+        outcome = co_await prefillAndTransfer(output);
+        // A completed transfer has freed the prefill endpoint.
+        if (outcome.completed)
+            prefillGuard.release();
     }
-    if (end.whole)
-        end = co_await decode(output, sink);
-    // A caller that leaves cancels this coroutine, and the read in hand fails as if the endpoint had broken off. Taken
-    // for that, it would keep work away from a sound endpoint and count against the request as a crash.
+    if (outcome.completed)
+        outcome = co_await decode(output, sink);
+    // A caller that disconnects cancels this coroutine, and the pending read fails as if the endpoint's connection had
+    // broken. Treated as such, it would exclude a healthy endpoint and count as a crash caused by the request.
     auto cancelled = (co_await boost::asio::this_coro::cancellation_state).cancelled();
     if (cancelled != boost::asio::cancellation_type::none) {
-        attempt_end gone;
-        gone.callerGone = true;
-        gone.why = reason::CallerGone;
-        co_return gone;
+        attempt_result disconnected;
+        disconnected.callerGone = true;
+        disconnected.cause = reason::CallerGone;
+        co_return disconnected;
     }
-    if (end.whole) {
-        decodeHold.release();
-        booking.report().set_stage(wire::STAGE_FINISHED);
+    if (outcome.completed) {
+        decodeGuard.release();
+        reservation.report().set_stage(wire::STAGE_FINISHED);
     }
-    booking.report().set_reason(end.whole ? "" : std::string(reasonName(end.why)));
-    booking.report().set_endpoint(end.callerGone ? "" : end.endpoint);
-    booking.report().set_prefill_wasted(end.prefillWasted);
-    booking.report().set_tokens(output.tokens);
-    co_return end;
+    reservation.report().set_reason(outcome.completed ? "" : std::string(reasonName(outcome.cause)));
+    reservation.report().set_endpoint(outcome.callerGone ? "" : outcome.endpoint);
+    reservation.report().set_prefill_wasted(outcome.prefillWasted);
+    reservation.report().set_tokens(output.tokens);
+    co_return outcome;
 }
 
-task_of<attempt_end> model_attempt::prefillAndTransfer(model_output& output)
+task_of<attempt_result> model_attempt::prefillAndTransfer(model_output& output)
 {
     auto& journal = m_context.node.journal();
-    prefill_order order;
-    order.tag = m_tag.text();
-    order.model = m_request.model;
-    order.prompt = m_request.prompt;
-    order.output = output.text;
-    order.fromIndex = output.tokens;
-    order.parameters = m_request.parameters;
+    prefill_request request;
+    request.tag = m_tag.toString();
+    request.model = m_request.model;
+    request.prompt = m_request.prompt;
+    request.output = output.text;
+    request.fromIndex = output.tokens;
+    request.parameters = m_request.parameters;
     http_json_endpoint prefill(m_placement.prefill_address(), m_context.settings.timeouts);
     output.sent = true;
-    auto done = co_await prefill.prefill(order);
-    journal.note(m_tag.requestId, "prefill", { { "endpoint", m_placement.prefill_id() }, { "ok", done.status == endpoint_status::Done } });
-    if (done.status != endpoint_status::Done)
-        co_return failed(done.status, m_placement.prefill_id(), false);
-    output.promptTokens = done.promptTokens;
-    m_kv = done.kv;
-    report(wire::STAGE_PREFILLED);
+    auto prefilled = co_await prefill.prefill(request);
+    journal.record(m_tag.requestId, "prefill", { { "endpoint", m_placement.prefill_id() }, { "ok", prefilled.status == endpoint_status::Done } });
+    if (prefilled.status != endpoint_status::Done)
+        co_return makeFailure(prefilled.status, m_placement.prefill_id(), false);
+    output.promptTokens = prefilled.promptTokens;
+    m_kv = prefilled.kv;
+    reportStage(wire::STAGE_PREFILLED);
 
-    import_order import;
-    import.tag = order.tag;
+    kv_import_request import;
+    import.tag = request.tag;
     import.kv = m_kv;
     import.sourceAddress = m_placement.prefill_address();
     import.maxTokens = m_maxTokens;
     http_json_endpoint decode(m_placement.decode_address(), m_context.settings.timeouts);
-    auto moved = co_await decode.importKv(import);
-    journal.note(m_tag.requestId, "transfer", { { "endpoint", m_placement.decode_id() }, { "ok", moved == endpoint_status::Done } });
-    if (moved != endpoint_status::Done)
-        co_return failed(moved, m_placement.decode_id(), true);
-    report(wire::STAGE_TRANSFERRED);
-    attempt_end end;
-    end.whole = true;
-    co_return end;
+    auto transferStatus = co_await decode.importKv(import);
+    journal.record(m_tag.requestId, "transfer", { { "endpoint", m_placement.decode_id() }, { "ok", transferStatus == endpoint_status::Done } });
+    if (transferStatus != endpoint_status::Done)
+        co_return makeFailure(transferStatus, m_placement.decode_id(), true);
+    reportStage(wire::STAGE_TRANSFERRED);
+    attempt_result outcome;
+    outcome.completed = true;
+    co_return outcome;
 }
 
-task_of<attempt_end> model_attempt::decode(model_output& output, token_sink& sink)
+task_of<attempt_result> model_attempt::decode(model_output& output, token_sink& sink)
 {
-    decode_order order;
-    order.tag = m_tag.text();
-    order.kv = m_kv;
-    order.fromIndex = output.tokens;
-    order.maxTokens = m_maxTokens;
+    decode_request request;
+    request.tag = m_tag.toString();
+    request.kv = m_kv;
+    request.fromIndex = output.tokens;
+    request.maxTokens = m_maxTokens;
     http_json_endpoint engine(m_placement.decode_address(), m_context.settings.timeouts);
-    auto started = co_await engine.decode(order);
-    bool none = output.tokens == 0;
+    auto started = co_await engine.decode(request);
+    bool noTokensYet = output.tokens == 0;
     if (started != endpoint_status::Done)
-        co_return failed(started, m_placement.decode_id(), none);
-    attempt_end end;
-    end.endpoint = m_placement.decode_id();
+        co_return makeFailure(started, m_placement.decode_id(), noTokensYet);
+    attempt_result outcome;
+    outcome.endpoint = m_placement.decode_id();
     while (true) {
         auto token = co_await engine.nextToken();
         if (token.status != endpoint_status::Done) {
-            end.why = reasonOf(token.status, true);
-            end.suspectedCrash = token.status == endpoint_status::Broken;
-            end.prefillWasted = none && output.tokens == 0;
-            co_return end;
+            outcome.cause = toReason(token.status, true);
+            outcome.suspectedCrash = token.status == endpoint_status::Broken;
+            outcome.prefillWasted = noTokensYet && output.tokens == 0;
+            co_return outcome;
         }
         if (token.end) {
             output.finishReason = token.finishReason;
-            end.whole = true;
-            co_return end;
+            outcome.completed = true;
+            co_return outcome;
         }
-        // A token that came twice, or late after a resume, is dropped; the caller sees each index once.
+        // Drops a token that is repeated or arrives late after a resume; the caller gets each index once.
         if (token.index < output.tokens) {
             m_context.counters.count("token_duplicate_dropped");
             continue;
         }
-        // A gap can't be mended by waiting: the stream lost a token, so another engine resumes at it.
+        // A gap means that the stream lost a token. Waiting doesn't recover it, so another engine resumes there.
         if (token.index > output.tokens) {
             m_context.counters.count("token_gap");
-            end.why = reason::DecodeLost;
-            co_return end;
+            outcome.cause = reason::DecodeLost;
+            co_return outcome;
         }
         ++output.tokens;
         output.text += token.text;
         if (!co_await sink(token.text)) {
-            end.callerGone = true;
-            end.why = reason::CallerGone;
-            co_return end;
+            outcome.callerGone = true;
+            outcome.cause = reason::CallerGone;
+            co_return outcome;
         }
     }
 }
--- a/Source/entry/request_journal.h
+++ b/Source/entry/request_journal.h
@@ -8,22 +8,22 @@
 
 namespace pistachiolatch {
 
-/// What this entry did for its latest requests, for `pistachiolatch explain`. In memory only.
+/// Keeps the events of the latest requests for `pistachiolatch explain`. In memory only.
 /// Thread safety: any thread.
 class request_journal {
 public:
-    /// Adds a line to a request's story.
-    void note(const std::string& requestId, std::string_view event, std::initializer_list<log_field> fields);
-    /// The lines of a request, oldest first; empty when it is unknown.
+    /// Appends an event to the log of a request.
+    void record(const std::string& requestId, std::string_view event, std::initializer_list<log_field> fields);
+    /// The log lines of a request, oldest first; empty if it is unknown.
     std::vector<std::string> lines(const std::string& requestId) const;
 
 private:
-    struct story {
-        std::chrono::steady_clock::time_point begun;
+    struct request_log {
+        std::chrono::steady_clock::time_point startedAt;
         std::vector<std::string> lines;
     };
     mutable std::mutex m_mutex;
-    std::map<std::string, story> m_stories;
+    std::map<std::string, request_log> m_logs;
     std::deque<std::string> m_order;
 };
 
--- a/Source/entry/service_call.cpp
+++ b/Source/entry/service_call.cpp
@@ -6,11 +6,11 @@
 
 namespace {
     constexpr std::string_view servicesPrefix = "/services/";
-    constexpr std::uint32_t mostAttempts = 3;
-    constexpr std::size_t largestStoredAnswer = 32UL * 1024;
+    constexpr std::uint32_t maxAttempts = 3;
+    constexpr std::size_t maxStoredResponseBytes = 32UL * 1024;
     constexpr milliseconds ledgerTimeout { 3000 };
-    constexpr milliseconds ledgerPoll { 100 };
-    constexpr milliseconds comeBack { 1000 };
+    constexpr milliseconds ledgerPollInterval { 100 };
+    constexpr milliseconds retryDelay { 1000 };
     constexpr milliseconds detachedAllowance { 10000 };
 
     std::string ledgerKey(const service_request& request)
@@ -18,16 +18,16 @@
         return request.caller.organisation + "\n" + request.service + "\n" + request.idempotencyKey;
     }
 
-    service_result failedWith(reason why, run_state run, milliseconds retryAfter = milliseconds(0))
+    service_result makeError(reason cause, run_state runState, milliseconds retryAfter = milliseconds(0))
     {
         service_result result;
-        result.error = caller_error { why, run, retryAfter, "" };
+        result.error = caller_error { cause, runState, retryAfter, "" };
         return result;
     }
 
-    http_call callTo(const service_request& request)
+    http_call makeHttpCall(const service_request& request)
     {
-        // Built from an allow-list: whatever else the caller sent, its key above all, stays here.
+        // Only these headers are forwarded; everything else that the caller sent, above all its key, stays here.
         http_call call;
         call.method = request.method;
         call.target = request.target;
@@ -43,7 +43,7 @@
     }
 }
 
-task_of<void> service_calls::run(http_exchange& exchange, caller_identity caller)
+task_of<void> service_router::handle(http_exchange& exchange, caller_identity caller)
 {
     std::string target(exchange.message().target());
     auto nameEnd = target.find('/', servicesPrefix.size());
@@ -60,23 +60,23 @@
     const auto* record = caller.config->service(request.service);
     const auto* organisation = caller.config->organisation(caller.organisation);
     service_result result;
-    constexpr std::size_t longestKey = 256;
+    constexpr std::size_t maxKeyBytes = 256;
     if (!record)
-        result = failedWith(reason::NotFound, run_state::NotRun);
+        result = makeError(reason::NotFound, run_state::NotRun);
     else if (!organisation || !organisation->services.count(request.service))
-        result = failedWith(reason::ServiceNotAllowed, run_state::NotRun);
-    else if (request.idempotencyKey.size() > longestKey)
-        result = failedWith(reason::BadRequest, run_state::NotRun);
+        result = makeError(reason::ServiceNotAllowed, run_state::NotRun);
+    else if (request.idempotencyKey.size() > maxKeyBytes)
+        result = makeError(reason::BadRequest, run_state::NotRun);
     else {
         bool idempotent = !record->nonIdempotentMethods.count(request.method);
         if (!idempotent && request.idempotencyKey.empty() && record->keyRequired)
-            result = failedWith(reason::IdempotencyKeyRequired, run_state::NotRun);
+            result = makeError(reason::IdempotencyKeyRequired, run_state::NotRun);
         else if (!idempotent && !request.idempotencyKey.empty())
-            result = co_await runOnce(request, *record);
+            result = co_await runAtMostOnce(request, *record);
         else
-            result = co_await runRepeatable(request, *record, idempotent);
+            result = co_await runWithRetries(request, *record, idempotent);
     }
-    m_context.node.journal().note(caller.requestId, "service", { { "service", request.service }, { "method", request.method }, { "reason", result.error ? reasonName(result.error->why) : "" }, { "status", result.status }, { "replayed", result.replayed } });
+    m_context.node.journal().record(caller.requestId, "service", { { "service", request.service }, { "method", request.method }, { "reason", result.error ? reasonName(result.error->cause) : "" }, { "status", result.status }, { "replayed", result.replayed } });
     if (result.error) {
         co_await sendError(exchange, *result.error, caller.requestId, m_context.counters);
         co_return;
@@ -88,102 +88,102 @@
     co_await exchange.respond(result.status, result.contentType, std::move(result.body), headers);
 }
 
-wire::place_request service_calls::placeRequest(const service_request& request, std::uint32_t attempt, const std::set<std::string>& exclude, milliseconds patience) const
+wire::place_request service_router::makePlaceRequest(const service_request& request, std::uint32_t attempt, const std::set<std::string>& exclude, milliseconds queueTimeout) const
 {
     wire::place_request place;
     place.set_shard(serviceShard(request.service));
     place.set_request_id(request.caller.requestId);
     place.set_attempt(attempt);
     place.set_organisation(request.caller.organisation);
-    place.set_patience_ms(static_cast<std::uint32_t>(patience.count()));
+    place.set_patience_ms(static_cast<std::uint32_t>(queueTimeout.count()));
     for (const auto& id : exclude)
         place.add_exclude(id);
     return place;
 }
 
-task_of<service_result> service_calls::runRepeatable(service_request request, const service_record& record, bool idempotent)
+task_of<service_result> service_router::runWithRetries(service_request request, const service_record& record, bool idempotent)
 {
-    auto verdict = co_await acquireTokens(m_context, request.caller.organisation, std::max<std::uint32_t>(record.costTokens, 1));
-    if (!verdict.granted)
-        co_return failedWith(verdict.why, run_state::NotRun, verdict.retryAfter);
+    auto grant = co_await acquireTokens(m_context, request.caller.organisation, std::max<std::uint32_t>(record.costTokens, 1));
+    if (!grant.granted)
+        co_return makeError(grant.cause, run_state::NotRun, grant.retryAfter);
     std::set<std::string> exclude;
-    auto run = run_state::NotRun;
+    auto runState = run_state::NotRun;
     auto deadline = m_context.clock.now() + record.deadline;
     auto timeLeft = [&] { return std::max(milliseconds(1), std::chrono::ceil<milliseconds>(deadline - m_context.clock.now())); };
     for (std::uint32_t attempt = 0;; ++attempt) {
-        auto placement = co_await acquirePlacement(m_context, placeRequest(request, attempt, exclude, timeLeft()));
+        auto placement = co_await acquirePlacement(m_context, makePlaceRequest(request, attempt, exclude, timeLeft()));
         if (!placement.refused().empty())
-            co_return failedWith(reasonFromName(placement.refused()).value_or(reason::Internal), run, milliseconds(placement.retry_after_ms()));
-        auto end = co_await callEndpoint(request, placement, timeLeft());
-        if (end.callerGone)
-            co_return failedWith(reason::CallerGone, run_state::MayHaveRun);
-        if (end.failed == call_failure::None)
-            co_return end.result;
-        // Once a byte may have left, a call that may not be repeated is over: its outcome is unknown.
-        if (end.failed != call_failure::NotSent)
-            run = run_state::MayHaveRun;
-        auto why = end.failed == call_failure::NotSent ? reason::ConnectFailed : reason::EndpointFailed;
-        bool mayRepeat = idempotent || run == run_state::NotRun;
-        if (!mayRepeat)
-            co_return failedWith(reason::OutcomeUnknown, run, comeBack);
-        if (attempt + 1 >= mostAttempts || m_context.clock.now() >= deadline)
-            co_return failedWith(why, run, comeBack);
-        m_context.counters.countRetry(why);
+            co_return makeError(reasonFromName(placement.refused()).value_or(reason::Internal), runState, milliseconds(placement.retry_after_ms()));
+        auto outcome = co_await callEndpoint(request, placement, timeLeft());
+        if (outcome.callerGone)
+            co_return makeError(reason::CallerGone, run_state::MayHaveRun);
+        if (outcome.failed == call_failure::None)
+            co_return outcome.result;
+        // Once a byte may have been sent, a non-idempotent call is not retried: its outcome is unknown.
+        if (outcome.failed != call_failure::NotSent)
+            runState = run_state::MayHaveRun;
+        auto cause = outcome.failed == call_failure::NotSent ? reason::ConnectFailed : reason::EndpointFailed;
+        bool mayRetry = idempotent || runState == run_state::NotRun;
+        if (!mayRetry)
+            co_return makeError(reason::OutcomeUnknown, runState, retryDelay);
+        if (attempt + 1 >= maxAttempts || m_context.clock.now() >= deadline)
+            co_return makeError(cause, runState, retryDelay);
+        m_context.counters.countRetry(cause);
         exclude.insert(placement.decode_id());
     }
 }
 
-task_of<service_calls::call_end> service_calls::callEndpoint(const service_request& request, const wire::placement& placement, milliseconds timeLeft)
+task_of<service_router::call_result> service_router::callEndpoint(const service_request& request, const wire::placement& placement, milliseconds timeLeft)
 {
-    wire::progress last;
-    last.set_shard(placement.shard());
-    last.set_request_id(request.caller.requestId);
-    last.set_attempt(placement.attempt());
-    last.set_stage(wire::STAGE_FAILED);
-    booking_hold booking(m_context, std::move(last));
-    auto call = callTo(request);
-    auto answer = co_await http_client::fetch(placement.decode_address(), call, m_context.settings.timeouts.connect, timeLeft);
-    call_end end;
-    end.failed = answer.failed;
-    // A caller that left cancelled the call; that is no failure of the endpoint.
+    wire::progress finalReport;
+    finalReport.set_shard(placement.shard());
+    finalReport.set_request_id(request.caller.requestId);
+    finalReport.set_attempt(placement.attempt());
+    finalReport.set_stage(wire::STAGE_FAILED);
+    reservation_guard reservation(m_context, std::move(finalReport));
+    auto call = makeHttpCall(request);
+    auto response = co_await http_client::fetch(placement.decode_address(), call, m_context.settings.timeouts.connect, timeLeft);
+    call_result outcome;
+    outcome.failed = response.failed;
+    // A caller that disconnects cancels the call; that is not a failure of the endpoint.
     auto cancelled = (co_await boost::asio::this_coro::cancellation_state).cancelled();
-    end.callerGone = cancelled != boost::asio::cancellation_type::none;
-    if (end.callerGone)
-        co_return end;
-    if (answer.failed == call_failure::None) {
-        booking.report().set_stage(wire::STAGE_FINISHED);
-        end.result.status = answer.status;
-        end.result.contentType = answer.contentType;
-        end.result.body = std::move(answer.body);
-        co_return end;
+    outcome.callerGone = cancelled != boost::asio::cancellation_type::none;
+    if (outcome.callerGone)
+        co_return outcome;
+    if (response.failed == call_failure::None) {
+        reservation.report().set_stage(wire::STAGE_FINISHED);
+        outcome.result.status = response.status;
+        outcome.result.contentType = response.contentType;
+        outcome.result.body = std::move(response.body);
+        co_return outcome;
     }
-    booking.report().set_endpoint(placement.decode_id());
-    booking.report().set_reason(std::string(reasonName(answer.failed == call_failure::NotSent ? reason::ConnectFailed : reason::EndpointFailed)));
-    co_return end;
+    reservation.report().set_endpoint(placement.decode_id());
+    reservation.report().set_reason(std::string(reasonName(response.failed == call_failure::NotSent ? reason::ConnectFailed : reason::EndpointFailed)));
+    co_return outcome;
 }
 
-task_of<wire::ledger_reply> service_calls::beginIntent(const service_request& request, const std::string& digest, const std::string& requestId)
+task_of<wire::ledger_reply> service_router::recordIntent(const service_request& request, const std::string& digest, const std::string& requestId)
 {
     wire::ledger_begin intent;
     intent.set_key(ledgerKey(request));
     intent.set_digest(digest);
     intent.set_request_id(requestId);
     pending_reply<wire::ledger_reply> pending(co_await boost::asio::this_coro::executor);
-    m_context.loop.post([this, intent, complete = pending.completer()] { m_context.node.ledger().begin(intent, ledgerTimeout, complete); });
+    m_context.loop.post([this, intent, complete = pending.completer()] { m_context.node.ledger().recordIntent(intent, ledgerTimeout, complete); });
     auto reply = co_await pending.wait(ledgerTimeout * 3);
     wire::ledger_reply unavailable;
     unavailable.set_unavailable(true);
     co_return reply.value_or(unavailable);
 }
 
-std::optional<service_result> service_calls::fromLedger(const wire::ledger_reply& reply) const
+std::optional<service_result> service_router::resultFromLedger(const wire::ledger_reply& reply) const
 {
     if (reply.unavailable())
-        return failedWith(reason::LedgerUnavailable, run_state::NotRun, comeBack);
+        return makeError(reason::LedgerUnavailable, run_state::NotRun, retryDelay);
     if (reply.reused())
-        return failedWith(reason::IdempotencyKeyReused, run_state::NotRun);
+        return makeError(reason::IdempotencyKeyReused, run_state::NotRun);
     if (reply.state() == wire::LEDGER_UNKNOWN || (reply.state() == wire::LEDGER_DONE && reply.answer().truncated()))
-        return failedWith(reason::OutcomeUnknown, run_state::MayHaveRun);
+        return makeError(reason::OutcomeUnknown, run_state::MayHaveRun);
     if (reply.state() != wire::LEDGER_DONE)
         return std::nullopt;
     service_result result;
@@ -194,32 +194,32 @@
     return result;
 }
 
-task_of<service_result> service_calls::runOnce(service_request request, const service_record& record)
+task_of<service_result> service_router::runAtMostOnce(service_request request, const service_record& record)
 {
     auto digest = sha256Hex(fmt::format("{}\n{}\n{}", request.method, request.target, request.body));
-    auto reply = co_await beginIntent(request, digest, request.caller.requestId);
+    auto reply = co_await recordIntent(request, digest, request.caller.requestId);
     if (!reply.granted()) {
-        auto known = fromLedger(reply);
+        auto known = resultFromLedger(reply);
         if (known)
             co_return *known;
-        co_return co_await awaitOther(request, digest, record);
+        co_return co_await awaitEarlierCall(request, digest, record);
     }
-    // From here on the call runs to its end even if the caller leaves: cut in the middle, its outcome would be
-    // unknown for ever, and the caller's resend could get no answer.
+    // From here on the call runs to completion even if the caller disconnects: if it were interrupted, its outcome
+    // would stay unknown, and a resend by the caller could not be answered.
     auto executor = co_await boost::asio::this_coro::executor;
     pending_reply<service_result> pending(executor);
-    auto detached = [](service_calls* self, service_request given, service_record rules, std::function<void(service_result)> complete) -> task_of<void> {
+    auto detached = [](service_router* self, service_request detachedRequest, service_record serviceRecord, std::function<void(service_result)> complete) -> task_of<void> {
         background_work work(self->m_context);
-        auto result = co_await self->runRepeatable(given, rules, false);
-        self->finishIntent(given, result, !result.error || result.error->run == run_state::MayHaveRun);
+        auto result = co_await self->runWithRetries(detachedRequest, serviceRecord, false);
+        self->recordOutcome(detachedRequest, result, !result.error || result.error->runState == run_state::MayHaveRun);
         complete(std::move(result));
     };
     boost::asio::co_spawn(executor, detached(this, request, record, pending.completer()), boost::asio::detached);
     auto result = co_await pending.wait(record.deadline + detachedAllowance);
-    co_return result.value_or(failedWith(reason::OutcomeUnknown, run_state::MayHaveRun));
+    co_return result.value_or(makeError(reason::OutcomeUnknown, run_state::MayHaveRun));
 }
 
-void service_calls::finishIntent(const service_request& request, const service_result& result, bool sent)
+void service_router::recordOutcome(const service_request& request, const service_result& result, bool sent)
 {
     wire::ledger_finish outcome;
     outcome.set_key(ledgerKey(request));
@@ -229,33 +229,33 @@
     } else if (result.error) {
         outcome.set_unknown(true);
     } else {
-        auto* answer = outcome.mutable_answer();
-        answer->set_status(result.status);
-        answer->set_content_type(result.contentType);
-        answer->set_truncated(result.body.size() > largestStoredAnswer);
-        if (!answer->truncated())
-            answer->set_body(result.body);
+        auto* response = outcome.mutable_answer();
+        response->set_status(result.status);
+        response->set_content_type(result.contentType);
+        response->set_truncated(result.body.size() > maxStoredResponseBytes);
+        if (!response->truncated())
+            response->set_body(result.body);
     }
-    m_context.loop.post([this, outcome] { m_context.node.ledger().finish(outcome); });
+    m_context.loop.post([this, outcome] { m_context.node.ledger().recordOutcome(outcome); });
 }
 
-task_of<service_result> service_calls::awaitOther(const service_request& request, const std::string& digest, const service_record& record)
+task_of<service_result> service_router::awaitEarlierCall(const service_request& request, const std::string& digest, const service_record& record)
 {
-    // The same call runs under an earlier request. This one never sends; it waits for that one's answer.
+    // The same call runs under an earlier request. This one waits for its response instead of sending the call.
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
     auto deadline = m_context.clock.now() + record.deadline;
     while (m_context.clock.now() < deadline) {
-        timer.expires_after(ledgerPoll);
+        timer.expires_after(ledgerPollInterval);
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-        auto reply = co_await beginIntent(request, digest, request.caller.requestId);
-        if (auto known = fromLedger(reply))
+        auto reply = co_await recordIntent(request, digest, request.caller.requestId);
+        if (auto known = resultFromLedger(reply))
             co_return *known;
         if (reply.granted()) {
-            // The earlier call was never sent and took its intent back, so this one may run.
-            co_return co_await runOnce(request, record);
+            // The earlier call was never sent and its intent was withdrawn, so this one may run.
+            co_return co_await runAtMostOnce(request, record);
         }
     }
-    co_return failedWith(reason::OutcomeUnknown, run_state::MayHaveRun, comeBack);
+    co_return makeError(reason::OutcomeUnknown, run_state::MayHaveRun, retryDelay);
 }
 
 } // namespace pistachiolatch
--- a/Source/entry/service_call.h
+++ b/Source/entry/service_call.h
@@ -5,17 +5,17 @@
 
 namespace pistachiolatch {
 
-/// What a service call came to.
+/// The result of a service call.
 struct service_result {
     std::optional<caller_error> error;
     unsigned status = 0;
     std::string contentType;
     std::string body;
-    /// The answer of an earlier call under the same idempotency key.
+    /// Whether this is the stored response of an earlier call with the same idempotency key.
     bool replayed = false;
 };
 
-/// A call as it goes to the service. Holds no key of the caller.
+/// A call to a service. Doesn't contain the caller's API key.
 struct service_request {
     caller_identity caller;
     std::string service;
@@ -27,32 +27,33 @@
     std::string idempotencyKey;
 };
 
-/// Routes calls to plain services; those that may not be repeated go through the at-most-once ledger.
-class service_calls {
+/// Routes calls to services other than models. Non-idempotent calls with a key go through the at-most-once ledger.
+class service_router {
 public:
-    explicit service_calls(entry_context& context)
+    explicit service_router(entry_context& context)
         : m_context(context)
     {
     }
 
-    /// Answers one call to /services/NAME/....
-    task_of<void> run(http_exchange& exchange, caller_identity caller);
+    /// Handles one call to /services/NAME/....
+    task_of<void> handle(http_exchange& exchange, caller_identity caller);
 
 private:
-    /// How one call to an endpoint ended.
-    struct call_end {
+    /// The result of one call to an endpoint.
+    struct call_result {
         call_failure failed = call_failure::None;
         bool callerGone = false;
         service_result result;
     };
-    wire::place_request placeRequest(const service_request& request, std::uint32_t attempt, const std::set<std::string>& exclude, milliseconds patience) const;
-    task_of<call_end> callEndpoint(const service_request& request, const wire::placement& placement, milliseconds timeLeft);
-    task_of<service_result> runOnce(service_request request, const service_record& record);
-    task_of<service_result> runRepeatable(service_request request, const service_record& record, bool idempotent);
-    task_of<service_result> awaitOther(const service_request& request, const std::string& digest, const service_record& record);
-    task_of<wire::ledger_reply> beginIntent(const service_request& request, const std::string& digest, const std::string& requestId);
-    void finishIntent(const service_request& request, const service_result& result, bool sent);
-    std::optional<service_result> fromLedger(const wire::ledger_reply& reply) const;
+    wire::place_request makePlaceRequest(const service_request& request, std::uint32_t attempt, const std::set<std::string>& exclude, milliseconds queueTimeout) const;
+    task_of<call_result> callEndpoint(const service_request& request, const wire::placement& placement, milliseconds timeLeft);
+    task_of<service_result> runAtMostOnce(service_request request, const service_record& record);
+    task_of<service_result> runWithRetries(service_request request, const service_record& record, bool idempotent);
+    task_of<service_result> awaitEarlierCall(const service_request& request, const std::string& digest, const service_record& record);
+    task_of<wire::ledger_reply> recordIntent(const service_request& request, const std::string& digest, const std::string& requestId);
+    void recordOutcome(const service_request& request, const service_result& result, bool sent);
+    /// The result that the ledger's reply determines; nothing while the call is running.
+    std::optional<service_result> resultFromLedger(const wire::ledger_reply& reply) const;
 
     entry_context& m_context;
 };
