--- a/Source/entry/announcement_relay.h
+++ b/Source/entry/announcement_relay.h
@@ -12,7 +12,7 @@
     announcement_relay(control_loop& loop, control_session& session);
 
     void handleAnnouncement(wire::endpoint_announcement announcement);
-    /// Forwards the latest announcements to owners that changed.
+    /// Forwards the latest announcements to new owners.
     void handleOwnerChanges();
     void tick(time_point now);
 
--- a/Source/entry/caller_api.h
+++ b/Source/entry/caller_api.h
@@ -14,7 +14,7 @@
     task_of<void> handleCallerRequest(http_exchange& exchange);
     /// Handles one request of an endpoint (POST /announce).
     task_of<void> handleEndpointRequest(http_exchange& exchange);
-    /// Makes the response to a request that is refused before it is parsed, and counts it.
+    /// Makes the response to a request that could not be read, and counts the refusal.
     http_refusal makeRefusal(reason cause) const;
 
 private:
--- a/Source/entry/engine_cleanup.cpp
+++ b/Source/entry/engine_cleanup.cpp
@@ -7,7 +7,7 @@
 namespace {
     constexpr milliseconds initialRetryDelay { 50 };
     constexpr milliseconds maxRetryDelay { 1000 };
-    /// An endpoint unreachable for longer has left every pool; the custodian frees what it holds when it returns.
+    /// An endpoint silent for longer has been removed from every pool; the custodian frees what it holds when it returns.
     constexpr milliseconds cancelRetryTimeout { 10000 };
 
     task_of<void> cancelUntilConfirmed(entry_context& context, std::string address, std::string tag)
@@ -57,7 +57,7 @@
 }
 
 namespace {
-    /// Withdraws a placement request if the coroutine that waits for it is cancelled.
+    /// Withdraws a placement request if the coroutine that waits for it ends without a reply.
     class placement_request_guard {
     public:
         placement_request_guard(entry_context& context, std::string requestId)
--- a/Source/entry/limit_client.h
+++ b/Source/entry/limit_client.h
@@ -24,7 +24,7 @@
     /// Refunds tokens that a request was charged and did not use.
     void refund(const std::string& organisation, std::uint64_t tokens);
     void tick(time_point now);
-    /// Resends pending requests to owners that changed.
+    /// Sends pending requests again to new owners.
     void handleOwnerChanges();
     /// Refunds all prefetched tokens.
     void refundUnused();
--- a/Source/entry/main.cpp
+++ b/Source/entry/main.cpp
@@ -25,8 +25,8 @@
 
         void stop()
         {
-            // Becomes unready first, so that the load balancer sends no more requests. Active requests then complete before
-            // this process leaves control.
+            // Becomes unready first, so that the load balancer sends no more requests. Active requests then complete, and the
+            // lease is released last.
             m_context->draining = true;
             m_callers->stopAccepting();
             waitUntilIdle();
--- a/Source/entry/service_call.cpp
+++ b/Source/entry/service_call.cpp
@@ -199,9 +199,9 @@
     auto digest = sha256Hex(fmt::format("{}\n{}\n{}", request.method, request.target, request.body));
     auto reply = co_await recordIntent(request, digest, request.caller.requestId);
     if (!reply.granted()) {
-        auto known = resultFromLedger(reply);
-        if (known)
-            co_return *known;
+        auto recorded = resultFromLedger(reply);
+        if (recorded)
+            co_return *recorded;
         co_return co_await awaitEarlierCall(request, digest, record);
     }
     // From here on the call runs to completion even if the caller disconnects: if it were interrupted, its outcome
@@ -248,8 +248,8 @@
         timer.expires_after(ledgerPollInterval);
         co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         auto reply = co_await recordIntent(request, digest, request.caller.requestId);
-        if (auto known = resultFromLedger(reply))
-            co_return *known;
+        if (auto recorded = resultFromLedger(reply))
+            co_return *recorded;
         if (reply.granted()) {
             // The earlier call was never sent and its intent was withdrawn, so this one may run.
             co_return co_await runAtMostOnce(request, record);
