--- a/Source/consensus/file_log_store.cpp
+++ b/Source/consensus/file_log_store.cpp
@@ -109,7 +109,7 @@
         return ok();
     }
 
-    void takeLogRecord(const wire::log_entry& entry, raft_restored& restored)
+    void takeLogRecord(const wire::log_entry& entry, raft_persistent_state& restored)
     {
         auto& entries = restored.entries;
         // A later record with the same index replaces that entry and all after it.
--- a/Source/consensus/file_log_store.h
+++ b/Source/consensus/file_log_store.h
@@ -8,7 +8,7 @@
 /// What a data folder held at the start.
 struct stored_replica {
     std::uint64_t incarnation = 0;
-    raft_restored restored;
+    raft_persistent_state restored;
     /// Whether the folder was empty, so that this is a new replica.
     bool fresh = false;
     /// Bytes of a record cut short by a crash, dropped at the start.
@@ -16,7 +16,7 @@
 };
 
 /// Pause before a folder that could not be used is opened again.
-constexpr milliseconds reopenPause { 1000 };
+constexpr milliseconds storageReopenDelay { 1000 };
 
 /// A replica's files in one data folder: incarnation, hard state, snapshot and the log, each checksummed and synced.
 /// Not thread-safe: one process, one thread. A lock file keeps a second process out.
--- a/Source/consensus/raft_core.cpp
+++ b/Source/consensus/raft_core.cpp
@@ -9,7 +9,7 @@
     return { id.vm(), id.incarnation() };
 }
 
-raft_core::raft_core(wire::replica_id self, raft_settings settings, std::uint64_t seed, raft_restored restored, time_point now)
+raft_core::raft_core(wire::replica_id self, raft_settings settings, std::uint64_t seed, raft_persistent_state restored, time_point now)
     : m_self(std::move(self))
     , m_settings(settings)
     , m_random(seed)
@@ -30,10 +30,10 @@
 {
     wire::replica_set first;
     *first.add_voters() = m_self;
-    found(first);
+    bootstrap(first);
 }
 
-void raft_core::found(const wire::replica_set& founders)
+void raft_core::bootstrap(const wire::replica_set& founders)
 {
     m_hardState.set_term(1);
     saveHardState();
@@ -54,7 +54,7 @@
         if (leaseValid(now))
             m_heardLeaderAt = now;
         // A leader that lost its quorum steps down, so that callers hear "no quorum" and not an old state.
-        if (now - m_heardLeaderAt > m_settings.electionMost) {
+        if (now - m_heardLeaderAt > m_settings.maxElectionTimeout) {
             becomeFollower(term(), now);
             return;
         }
--- a/Source/consensus/raft_core.h
+++ b/Source/consensus/raft_core.h
@@ -23,9 +23,9 @@
 replica_key keyOf(const wire::replica_id& id);
 
 struct raft_settings {
-    milliseconds heartbeat { 60 };
-    milliseconds electionLeast { 500 };
-    milliseconds electionMost { 900 };
+    milliseconds heartbeatInterval { 60 };
+    milliseconds minElectionTimeout { 500 };
+    milliseconds maxElectionTimeout { 900 };
     /// A joining replica that is silent for this long is forgotten by the leader.
     milliseconds joinerSilence { 3000 };
     /// A voter that is silent for this long gives its place to a replica on another VM that is caught up and waits.
@@ -48,7 +48,7 @@
 };
 
 /// What was on stable storage when the replica started.
-struct raft_restored {
+struct raft_persistent_state {
     wire::hard_state hardState;
     wire::raft_snapshot snapshot;
     std::vector<wire::log_entry> entries;
@@ -81,14 +81,14 @@
 /// Not thread-safe.
 class raft_core {
 public:
-    raft_core(wire::replica_id self, raft_settings settings, std::uint64_t seed, raft_restored restored, time_point now);
+    raft_core(wire::replica_id self, raft_settings settings, std::uint64_t seed, raft_persistent_state restored, time_point now);
 
     /// Makes this replica the only voter of a new log. Precondition: the log is empty.
     void bootstrap();
     /// Makes these replicas, of which this one is one, the voters of a new log. Each of them must be given the same
     /// set and none may found twice: all then hold the same first entry, so that exactly one log comes of it,
     /// whichever of them start and in whatever order. Precondition: the log is empty.
-    void found(const wire::replica_set& founders);
+    void bootstrap(const wire::replica_set& founders);
     /// Lets time pass: heartbeats, elections, membership steps.
     void tick(time_point now);
     /// Takes in a message from another replica.
@@ -97,9 +97,9 @@
     std::optional<log_position> propose(std::string command);
     /// Tells the leader of a replica that wants a vote. It is caught up first, then replaces the VM's earlier
     /// replica by two changes of one replica each.
-    void join(const wire::replica_id& replica, time_point now);
+    void handleJoinRequest(const wire::replica_id& replica, time_point now);
     /// Asks for a read that sees all that was acknowledged before; its id comes back in readsDone or readsFailed.
-    void read(std::uint64_t id);
+    void requestRead(std::uint64_t id);
     /// Tells that the state up to the index is in a snapshot with these bytes.
     void compact(std::uint64_t index, std::string state);
     /// The effects since the last call.
@@ -116,13 +116,13 @@
     bool isVoter() const { return isVoter(keyOf(m_self)); }
     /// Whether this replica should ask to be let in. One that hears no leader asks too: the entry that made it a
     /// voter may have been lost with its leader, and the new leader then does not know it.
-    bool wantsToJoin() const { return !isVoter() || !m_leader; }
+    bool shouldRequestJoin() const { return !isVoter() || !m_leader; }
     /// Whether this replica is leader and no other can have been elected yet. Symptom without it: an isolated
     /// leader goes on granting leases while a new leader already counts them as run out.
     bool leaseValid(time_point now) const;
     /// When this leader was last known to be the only one: the time at which the newest round that a quorum answered
     /// was sent. What was acknowledged by anyone before then is in its log. Nothing unless it leads.
-    std::optional<time_point> confirmedAt(time_point now) const;
+    std::optional<time_point> leadershipConfirmedAt(time_point now) const;
     /// When tick() has something to do next.
     time_point nextDue() const { return m_role == raft_role::Leader ? m_heartbeatDue : m_electionDue; }
     /// Whether this leader has committed an entry of its own term, and so knows all that was ever acknowledged.
--- a/Source/consensus/raft_host.h
+++ b/Source/consensus/raft_host.h
@@ -6,11 +6,11 @@
 namespace pistachiolatch {
 
 /// What a host does with the effects of its core.
-struct raft_effects {
+struct raft_callbacks {
     std::function<void(const wire::raft_message&)> send;
     std::function<void(const wire::log_entry&)> apply;
     std::function<void(const wire::raft_snapshot&)> restore;
-    std::function<void(std::uint64_t id, bool done)> read;
+    std::function<void(std::uint64_t id, bool done)> completeRead;
 };
 
 /// Joins a raft_core with its storage: persists before it sends or applies.
@@ -18,7 +18,7 @@
 template <log_storage Storage>
 class raft_host {
 public:
-    raft_host(raft_core core, Storage storage, raft_effects effects)
+    raft_host(raft_core core, Storage storage, raft_callbacks effects)
         : m_core(std::move(core))
         , m_storage(std::move(storage))
         , m_effects(std::move(effects))
@@ -32,7 +32,7 @@
 
     /// Carries out what the core asks for. An error of the storage is final: the core believes in what was not stored, and
     /// must not acknowledge it. The replica has to be read from its files again.
-    result<void> drain()
+    result<void> processReady()
     {
         // Applying may make the core ask for more; two rounds settle nearly always, the rest waits for the next tick.
         constexpr int mostRounds = 4;
@@ -51,9 +51,9 @@
             for (const auto& entry : ready.committed)
                 m_effects.apply(entry);
             for (auto id : ready.readsDone)
-                m_effects.read(id, true);
+                m_effects.completeRead(id, true);
             for (auto id : ready.readsFailed)
-                m_effects.read(id, false);
+                m_effects.completeRead(id, false);
         }
         return ok();
     }
@@ -84,7 +84,7 @@
 
     raft_core m_core;
     Storage m_storage;
-    raft_effects m_effects;
+    raft_callbacks m_effects;
     std::optional<failure> m_failed;
 };
 
--- a/Source/consensus/raft_leader.cpp
+++ b/Source/consensus/raft_leader.cpp
@@ -37,7 +37,7 @@
         m_rounds.push_back({ ++m_round, now });
         if (m_rounds.size() > mostRoundsKept)
             m_rounds.erase(m_rounds.begin());
-        m_heartbeatDue = now + m_settings.heartbeat;
+        m_heartbeatDue = now + m_settings.heartbeatInterval;
     }
     for (auto& [key, progress] : m_progress)
         sendAppend(progress, now);
@@ -185,7 +185,7 @@
     return rounds[quorum() - 1];
 }
 
-std::optional<time_point> raft_core::confirmedAt(time_point now) const
+std::optional<time_point> raft_core::leadershipConfirmedAt(time_point now) const
 {
     if (!hasCommittedInTerm())
         return std::nullopt;
@@ -208,12 +208,12 @@
         return true;
     for (const auto& sent : m_rounds) {
         if (sent.round == round)
-            return now - sent.sentAt < m_settings.electionLeast * leaseTenths / 10;
+            return now - sent.sentAt < m_settings.minElectionTimeout * leaseTenths / 10;
     }
     return false;
 }
 
-void raft_core::read(std::uint64_t id)
+void raft_core::requestRead(std::uint64_t id)
 {
     if (!hasCommittedInTerm()) {
         m_ready.readsFailed.push_back(id);
@@ -244,7 +244,7 @@
     m_reads.clear();
 }
 
-void raft_core::join(const wire::replica_id& replica, time_point now)
+void raft_core::handleJoinRequest(const wire::replica_id& replica, time_point now)
 {
     auto key = keyOf(replica);
     if (m_role != raft_role::Leader || key == keyOf(m_self))
@@ -297,7 +297,7 @@
 {
     // A VM that is gone for good is succeeded by one with another address. While its place stays taken, the log
     // bears one loss less than it should. The place is freed first and filled by the next change.
-    if (now - joiner.lastHeard > m_settings.heartbeat * 4)
+    if (now - joiner.lastHeard > m_settings.heartbeatInterval * 4)
         return false;
     auto* voters = changed.mutable_voters();
     auto silent = std::find_if(voters->begin(), voters->end(), [&](const auto& voter) {
--- a/Source/consensus/raft_votes.cpp
+++ b/Source/consensus/raft_votes.cpp
@@ -4,12 +4,12 @@
 
 bool raft_core::heardLeaderLately(time_point now) const
 {
-    return now - m_heardLeaderAt < m_settings.electionLeast;
+    return now - m_heardLeaderAt < m_settings.minElectionTimeout;
 }
 
 void raft_core::resetElectionTimer(time_point now)
 {
-    std::uniform_int_distribution<std::int64_t> spread(m_settings.electionLeast.count(), m_settings.electionMost.count());
+    std::uniform_int_distribution<std::int64_t> spread(m_settings.minElectionTimeout.count(), m_settings.maxElectionTimeout.count());
     m_electionDue = now + milliseconds(spread(m_random));
 }
 
--- a/Source/control/control_node.cpp
+++ b/Source/control/control_node.cpp
@@ -32,7 +32,7 @@
     if (!given.replica) {
         logEvent("storage_unusable", { { "error", given.replica.error().message } });
         m_storageFailed = true;
-        m_reopenAt = m_clock.now() + reopenPause;
+        m_reopenAt = m_clock.now() + storageReopenDelay;
     }
     // The placeholder takes no part in the log until the stored replica can be opened.
     restore(given.replica ? std::move(given.replica.value()) : memoryReplica(m_wire));
@@ -51,9 +51,9 @@
     m_host.emplace(std::move(core), std::move(replica.store), effects());
 }
 
-raft_effects control_node::effects()
+raft_callbacks control_node::effects()
 {
-    raft_effects effects;
+    raft_callbacks effects;
     effects.send = [this](const wire::raft_message& message) {
         wire::envelope envelope;
         *envelope.mutable_raft() = message;
@@ -66,7 +66,7 @@
         m_applied = snapshot.index();
         logEvent("snapshot_installed", { { "index", snapshot.index() } });
     };
-    effects.read = [this](std::uint64_t id, bool done) {
+    effects.completeRead = [this](std::uint64_t id, bool done) {
         auto found = m_reads.find(id);
         if (found == m_reads.end())
             return;
@@ -86,7 +86,7 @@
         break;
     case wire::envelope::kJoin:
         if (!m_storageFailed)
-            core().join(message.join().replica(), m_clock.now());
+            core().handleJoinRequest(message.join().replica(), m_clock.now());
         break;
     case wire::envelope::kHeartbeat:
         onHeartbeat(message);
@@ -130,7 +130,7 @@
 {
     if (m_storageFailed)
         return;
-    auto drained = m_host->drain();
+    auto drained = m_host->processReady();
     if (!drained)
         onStorageFailure(drained.error().message);
 }
@@ -142,7 +142,7 @@
     m_metrics.count("storage_failed");
     m_metrics.gauge("storage_usable", 0);
     m_storageFailed = true;
-    m_reopenAt = m_clock.now() + reopenPause;
+    m_reopenAt = m_clock.now() + storageReopenDelay;
     failPending();
     auto reads = std::exchange(m_reads, {});
     for (auto& [id, answer] : reads)
@@ -153,7 +153,7 @@
 {
     if (m_clock.now() < m_reopenAt)
         return;
-    m_reopenAt = m_clock.now() + reopenPause;
+    m_reopenAt = m_clock.now() + storageReopenDelay;
     m_host->storage().close();
     auto opened = m_open(true);
     if (!opened) {
@@ -168,7 +168,7 @@
 
 void control_node::sendJoin()
 {
-    if (!core().wantsToJoin() || m_clock.now() < m_nextJoin)
+    if (!core().shouldRequestJoin() || m_clock.now() < m_nextJoin)
         return;
     m_nextJoin = m_clock.now() + joinInterval;
     for (const auto& address : m_wire.controls) {
@@ -297,7 +297,7 @@
         return;
     }
     m_reads[++m_lastRead] = std::move(answer);
-    core().read(m_lastRead);
+    core().requestRead(m_lastRead);
     settle();
 }
 
--- a/Source/control/control_node.h
+++ b/Source/control/control_node.h
@@ -42,7 +42,7 @@
 struct opened_replica {
     wire::replica_id self;
     replica_store store;
-    raft_restored restored;
+    raft_persistent_state restored;
 };
 /// Opens the storage, again after a write or sync failed. Errors: the storage can't be used yet.
 using replica_opener = std::function<result<opened_replica>(bool afterFailure)>;
@@ -108,7 +108,7 @@
 
     raft_core& core() { return m_host->core(); }
     const raft_core& core() const { return m_host->core(); }
-    raft_effects effects();
+    raft_callbacks effects();
     void restore(opened_replica replica);
     void onStorageFailure(const std::string& why);
     void reopenStorage();
--- a/Source/control/control_sessions.cpp
+++ b/Source/control/control_sessions.cpp
@@ -104,9 +104,9 @@
 std::vector<std::string> control_node::wantedShards() const
 {
     std::vector<std::string> wanted;
-    for (const auto& model : m_state.namesOf("model"))
+    for (const auto& model : m_state.listNames("model"))
         wanted.push_back(modelShard(model));
-    for (const auto& service : m_state.namesOf("service"))
+    for (const auto& service : m_state.listNames("service"))
         wanted.push_back(serviceShard(service));
     for (std::uint32_t i = 0; i < limitShardCount; ++i)
         wanted.push_back(fmt::format("limit:{}", i));
@@ -156,7 +156,7 @@
     if (m_clock.now() < m_nextExpiry)
         return;
     m_nextExpiry = m_clock.now() + ledgerExpiryInterval;
-    if (m_state.calls().size() == 0)
+    if (m_state.callLedger().size() == 0)
         return;
     wire::command command;
     command.mutable_expire()->set_before_ms((wallClock() - keyLifetime).count());
--- a/Source/control/main.cpp
+++ b/Source/control/main.cpp
@@ -58,7 +58,7 @@
         }
 
     private:
-        static bool isEmpty(const raft_restored& restored) { return restored.entries.empty() && restored.snapshot.index() == 0; }
+        static bool isEmpty(const raft_persistent_state& restored) { return restored.entries.empty() && restored.snapshot.index() == 0; }
 
         result<opened_replica> openStorage(bool afterFailure) const
         {
--- a/Source/control/operator_json.cpp
+++ b/Source/control/operator_json.cpp
@@ -94,7 +94,7 @@
     status["commit_index"] = core().commitIndex();
     status["revision"] = m_state.revision();
     status["in_force"] = m_sessions && m_sessions->inForce(m_state.revision(), m_clock.now());
-    status["ledger_entries"] = m_state.calls().size();
+    status["ledger_entries"] = m_state.callLedger().size();
     json::array replicas;
     for (const auto& voter : core().members().voters())
         replicas.push_back(json::object { { "vm", voter.vm() }, { "incarnation", std::to_string(voter.incarnation()) }, { "address", voter.address() } });
--- a/Source/entry/caller_api.cpp
+++ b/Source/entry/caller_api.cpp
@@ -132,7 +132,7 @@
     if (!header.starts_with(bearer) || header.size() == bearer.size())
         return caller_error { reason::MissingKey, run_state::NotRun, milliseconds(0), "" };
     caller.config = m_context.node.config();
-    const auto* key = caller.config->keyByDigest(sha256Hex(std::string_view(header).substr(bearer.size())));
+    const auto* key = caller.config->findKeyByDigest(sha256Hex(std::string_view(header).substr(bearer.size())));
     if (!key)
         return caller_error { reason::UnknownKey, run_state::NotRun, milliseconds(0), "" };
     if (key->record.withdrawn)
--- a/Source/entry/model_call.cpp
+++ b/Source/entry/model_call.cpp
@@ -127,7 +127,7 @@
     request.set_organisation(m_caller.organisation);
     request.set_prompt_tokens(m_promptTokens + m_output.tokens);
     request.set_max_tokens(m_maxTokens - std::min(m_maxTokens, m_output.tokens));
-    request.set_patience_ms(static_cast<std::uint32_t>(m_model->patience.count()));
+    request.set_patience_ms(static_cast<std::uint32_t>(m_model->queueTimeout.count()));
     request.set_fingerprint(m_fingerprint);
     request.set_prefix(m_prefix);
     request.set_resume_from(m_output.tokens);
--- a/Source/entry/service_call.cpp
+++ b/Source/entry/service_call.cpp
@@ -69,7 +69,7 @@
         result = failedWith(reason::BadRequest, run_state::NotRun);
     else {
         bool idempotent = !record->nonIdempotentMethods.count(request.method);
-        if (!idempotent && request.idempotencyKey.empty() && record->keyRequired)
+        if (!idempotent && request.idempotencyKey.empty() && record->idempotencyKeyRequired)
             result = failedWith(reason::IdempotencyKeyRequired, run_state::NotRun);
         else if (!idempotent && !request.idempotencyKey.empty())
             result = co_await runOnce(request, *record);
--- a/Source/records/config_view.cpp
+++ b/Source/records/config_view.cpp
@@ -18,7 +18,7 @@
     }
 }
 
-std::shared_ptr<const config_view> config_view::after(const config_view& before, std::uint64_t revision,
+std::shared_ptr<const config_view> config_view::applyChanges(const config_view& before, std::uint64_t revision,
     const std::vector<wire::record>& changed, std::vector<std::string>& problems)
 {
     auto next = std::make_shared<config_view>(before);
@@ -51,7 +51,7 @@
     return failure { fmt::format("kind \"{}\" is unknown to this build", record.kind()) };
 }
 
-const key_view* config_view::keyByDigest(const std::string& sha256) const
+const key_view* config_view::findKeyByDigest(const std::string& sha256) const
 {
     auto found = m_byDigest.find(sha256);
     // The table finds by hash and compares as it likes; the last word is a comparison in constant time.
--- a/Source/records/config_view.h
+++ b/Source/records/config_view.h
@@ -17,11 +17,11 @@
 public:
     /// The view after some changed records. Records that can't be decoded are left out and named in `problems`.
     /// Precondition: revision is not lower than that of `before`.
-    static std::shared_ptr<const config_view> after(const config_view& before, std::uint64_t revision,
+    static std::shared_ptr<const config_view> applyChanges(const config_view& before, std::uint64_t revision,
         const std::vector<wire::record>& changed, std::vector<std::string>& problems);
 
     std::uint64_t revision() const { return m_revision; }
-    const key_view* keyByDigest(const std::string& sha256) const;
+    const key_view* findKeyByDigest(const std::string& sha256) const;
     const organisation_record* organisation(const std::string& name) const { return look(m_organisations, name); }
     const limit_record* limit(const std::string& name) const { return look(m_limits, name); }
     const model_record* model(const std::string& name) const { return look(m_models, name); }
--- a/Source/records/control_state.cpp
+++ b/Source/records/control_state.cpp
@@ -158,7 +158,7 @@
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-std::vector<std::string> control_state::namesOf(const std::string& kind) const
+std::vector<std::string> control_state::listNames(const std::string& kind) const
 {
     std::vector<std::string> names;
     for (const auto& [key, record] : m_records) {
--- a/Source/records/control_state.h
+++ b/Source/records/control_state.h
@@ -47,10 +47,10 @@
     std::vector<wire::record> recordsAfter(std::uint64_t revision) const;
     /// The record in force, or null. Removed records are found too.
     const wire::record* find(const std::string& kind, const std::string& name) const;
-    std::vector<std::string> namesOf(const std::string& kind) const;
+    std::vector<std::string> listNames(const std::string& kind) const;
     const std::map<std::string, wire::shard_owner>& shards() const { return m_shards; }
     const std::map<std::uint64_t, wire::poison_mark>& poison() const { return m_poison; }
-    const class ledger& calls() const { return m_ledger; }
+    const class ledger& callLedger() const { return m_ledger; }
 
     std::string save() const;
     /// Errors: bytes that save() did not write.
--- a/Source/records/record_types.cpp
+++ b/Source/records/record_types.cpp
@@ -185,7 +185,7 @@
     body_reader body(record);
     service_record value;
     value.nonIdempotentMethods = body.texts("non_idempotent_methods", value.nonIdempotentMethods);
-    value.keyRequired = body.flag("idempotency_key_required", true);
+    value.idempotencyKeyRequired = body.flag("idempotency_key_required", true);
     constexpr std::int64_t mostMillis = 600'000;
     value.deadline = milliseconds(body.integer("deadline_ms", 1, mostMillis, value.deadline.count(), false));
     value.costTokens = static_cast<std::uint32_t>(body.integer("cost_tokens", 0, 1'000'000, value.costTokens, false));
@@ -198,9 +198,9 @@
     model_record value;
     constexpr std::int64_t mostMillis = 600'000;
     value.version = body.text("model_version");
-    value.firstToken = milliseconds(body.integer("first_token_ms", 1, mostMillis, value.firstToken.count(), false));
-    value.perToken = milliseconds(body.integer("per_token_ms", 1, mostMillis, value.perToken.count(), false));
-    value.patience = milliseconds(body.integer("patience_ms", 1, mostMillis, value.patience.count(), false));
+    value.firstTokenTarget = milliseconds(body.integer("first_token_ms", 1, mostMillis, value.firstTokenTarget.count(), false));
+    value.perTokenTarget = milliseconds(body.integer("per_token_ms", 1, mostMillis, value.perTokenTarget.count(), false));
+    value.queueTimeout = milliseconds(body.integer("patience_ms", 1, mostMillis, value.queueTimeout.count(), false));
     value.maxTokensDefault = static_cast<std::uint32_t>(body.integer("max_tokens_default", 1, 1'000'000, value.maxTokensDefault, false));
     return body.finish(std::move(value));
 }
--- a/Source/records/record_types.h
+++ b/Source/records/record_types.h
@@ -49,7 +49,7 @@
 /// A plain service beside the model engines.
 struct service_record {
     std::set<std::string> nonIdempotentMethods { "PATCH", "POST" };
-    bool keyRequired = true;
+    bool idempotencyKeyRequired = true;
     milliseconds deadline { 10000 };
     std::uint32_t costTokens = 1;
 };
@@ -57,10 +57,10 @@
 /// A model and its latency targets.
 struct model_record {
     std::string version;
-    milliseconds firstToken { 980 };
-    milliseconds perToken { 70 };
+    milliseconds firstTokenTarget { 980 };
+    milliseconds perTokenTarget { 70 };
     /// Longest wait of a request in the pool's queue.
-    milliseconds patience { 20000 };
+    milliseconds queueTimeout { 20000 };
     std::uint32_t maxTokensDefault = 256;
 };
 
--- a/Source/replication/document_replica.cpp
+++ b/Source/replication/document_replica.cpp
@@ -26,9 +26,9 @@
     // within a few milliseconds of each other and sync within as much, so that seven heartbeats fit into the shortest
     // silence that ends a lead.
     raft_settings settings;
-    settings.heartbeat = milliseconds(40);
-    settings.electionLeast = milliseconds(300);
-    settings.electionMost = milliseconds(550);
+    settings.heartbeatInterval = milliseconds(40);
+    settings.minElectionTimeout = milliseconds(300);
+    settings.maxElectionTimeout = milliseconds(550);
     return settings;
 }
 
@@ -61,9 +61,9 @@
     m_storageTimer.cancel();
 }
 
-raft_effects document_replica::effects()
+raft_callbacks document_replica::effects()
 {
-    raft_effects effects;
+    raft_callbacks effects;
     effects.send = [this](const wire::raft_message& message) {
         wire::envelope envelope;
         *envelope.mutable_raft() = message;
@@ -75,7 +75,7 @@
         logEvent("snapshot_installed", { { "index", snapshot.index() }, { "version", m_document.version() } });
         m_events.documentChanged();
     };
-    effects.read = [this](std::uint64_t id, bool done) {
+    effects.completeRead = [this](std::uint64_t id, bool done) {
         auto found = m_reads.find(id);
         if (found == m_reads.end())
             return;
@@ -154,7 +154,7 @@
         const auto& leader = core().leader();
         return leader ? leader->address() : std::string();
     }
-    bool heardLately = m_clock.now() - m_heard.at < electionSettings().electionMost;
+    bool heardLately = m_clock.now() - m_heard.at < electionSettings().maxElectionTimeout;
     return heardLately ? m_heard.address : std::string();
 }
 
@@ -163,7 +163,7 @@
     if (!m_usable)
         return std::nullopt;
     auto now = m_clock.now();
-    auto at = core().confirmedAt(now);
+    auto at = core().leadershipConfirmedAt(now);
     if (!at)
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(now - *at);
@@ -243,7 +243,7 @@
     }
     if (!m_usable)
         return;
-    core().join(replica, m_clock.now());
+    core().handleJoinRequest(replica, m_clock.now());
     settle();
 }
 
@@ -316,7 +316,7 @@
         return;
     }
     m_reads[++m_lastRead] = std::move(handler);
-    core().read(m_lastRead);
+    core().requestRead(m_lastRead);
     settle();
 }
 
@@ -324,7 +324,7 @@
 {
     if (!m_usable)
         return;
-    auto drained = m_host->drain();
+    auto drained = m_host->processReady();
     if (!drained) {
         onStorageFailure(drained.error().message);
         return;
@@ -336,7 +336,7 @@
 
 void document_replica::armTimer()
 {
-    auto due = std::min(core().nextDue(), core().wantsToJoin() ? m_nextJoin : time_point::max());
+    auto due = std::min(core().nextDue(), core().shouldRequestJoin() ? m_nextJoin : time_point::max());
     auto now = m_clock.now();
     // A timer that is armed for an earlier time looks again then; arming it anew at each message would cost more.
     if (m_armedFor != time_point {} && m_armedFor <= due)
@@ -361,7 +361,7 @@
 
 void document_replica::sendJoin()
 {
-    if (!core().wantsToJoin() || m_clock.now() < m_nextJoin)
+    if (!core().shouldRequestJoin() || m_clock.now() < m_nextJoin)
         return;
     m_nextJoin = m_clock.now() + joinInterval;
     for (const auto& address : peers()) {
--- a/Source/replication/document_replica.h
+++ b/Source/replication/document_replica.h
@@ -84,7 +84,7 @@
     raft_core& core() { return m_host->core(); }
     const raft_core& core() const { return m_host->core(); }
     static raft_settings electionSettings();
-    raft_effects effects();
+    raft_callbacks effects();
     void openStorage();
     result<void> openFiles();
     void retryStorage();
--- a/Source/replication/document_replica_storage.cpp
+++ b/Source/replication/document_replica_storage.cpp
@@ -37,7 +37,7 @@
     load(start.restored.snapshot);
     m_host.emplace(raft_core(m_self, electionSettings(), freshIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
     if (founders.voters_size() > 0) {
-        core().found(founders);
+        core().bootstrap(founders);
         logEvent("log_founded", { { "voters", founders.voters_size() } });
     }
     return ok();
@@ -64,7 +64,7 @@
 
 void document_replica::retryStorage()
 {
-    m_storageTimer.expires_after(reopenPause);
+    m_storageTimer.expires_after(storageReopenDelay);
     m_storageTimer.async_wait([this](boost::system::error_code error) {
         if (!error && !m_stopped)
             openStorage();
--- a/Source/replication/replica_identity.h
+++ b/Source/replication/replica_identity.h
@@ -8,7 +8,7 @@
 /// How a replica of a fleet that founds itself begins.
 struct replica_start {
     wire::replica_id self;
-    raft_restored restored;
+    raft_persistent_state restored;
     /// The voters to found a new log with; empty when this replica joins one or goes on with its own.
     wire::replica_set founders;
     std::uint64_t tornBytes = 0;
--- a/Source/scheduler/owned_pools.cpp
+++ b/Source/scheduler/owned_pools.cpp
@@ -38,7 +38,7 @@
     if (!isModelShard(m_shard))
         return;
     if (const auto* model = config.model(m_shard.substr(modelPrefix.size())))
-        m_pool.setTargets({ model->firstToken, model->perToken });
+        m_pool.setTargets({ model->firstTokenTarget, model->perTokenTarget });
 }
 
 void owned_pool::onPlace(const wire::envelope& message, time_point now)
--- a/Source/session/control_session.cpp
+++ b/Source/session/control_session.cpp
@@ -122,7 +122,7 @@
     if (grant.revision() <= m_config->revision())
         return;
     std::vector<std::string> problems;
-    auto next = config_view::after(*m_config, grant.revision(), { grant.records().begin(), grant.records().end() }, problems);
+    auto next = config_view::applyChanges(*m_config, grant.revision(), { grant.records().begin(), grant.records().end() }, problems);
     for (const auto& problem : problems)
         logEvent("record_not_understood", { { "problem", problem } });
     std::atomic_store(&m_config, next);
--- a/Tests/Bench/decision_bench.cpp
+++ b/Tests/Bench/decision_bench.cpp
@@ -160,10 +160,10 @@
     std::vector<std::string> problems;
     auto before = heapBytes();
     std::shared_ptr<const config_view> view = std::make_shared<config_view>();
-    view = config_view::after(*view, 1, records, problems);
+    view = config_view::applyChanges(*view, 1, records, problems);
     row("entry: bytes of configuration an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
-    row("entry: one change applied", organisations, microsOf(5, [&](int i) { view = config_view::after(*view, 2 + static_cast<std::uint64_t>(i), { records.front() }, problems); }), "us");
-    row("entry: a key looked up", organisations, microsOf(20000, [&](int i) { (void)view->keyByDigest(sha256Hex(fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations))); }), "us");
+    row("entry: one change applied", organisations, microsOf(5, [&](int i) { view = config_view::applyChanges(*view, 2 + static_cast<std::uint64_t>(i), { records.front() }, problems); }), "us");
+    row("entry: a key looked up", organisations, microsOf(20000, [&](int i) { (void)view->findKeyByDigest(sha256Hex(fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations))); }), "us");
 
     before = heapBytes();
     control_state state;
--- a/Tests/Consensus/raft_simulation.cpp
+++ b/Tests/Consensus/raft_simulation.cpp
@@ -35,7 +35,7 @@
     raft_settings settings;
     // Small enough for most snapshots to go in several.
     settings.snapshotPieceBytes = 512;
-    one.core = std::make_unique<raft_core>(one.id, settings, m_random(), raft_restored { one.stored.hardState, one.stored.snapshot, one.stored.entries }, m_now);
+    one.core = std::make_unique<raft_core>(one.id, settings, m_random(), raft_persistent_state { one.stored.hardState, one.stored.snapshot, one.stored.entries }, m_now);
     one.applied.clear();
     one.appliedIndex = one.stored.snapshot.index();
     std::string state = one.stored.snapshot.state();
@@ -221,10 +221,10 @@
     m_now += stepLength;
     for (auto& node : m_nodes) {
         node.core->tick(m_now);
-        if (node.core->wantsToJoin() && pick(10) == 0) {
+        if (node.core->shouldRequestJoin() && pick(10) == 0) {
             for (auto& other : m_nodes) {
                 if (!node.cut && !other.cut)
-                    other.core->join(node.id, m_now);
+                    other.core->handleJoinRequest(node.id, m_now);
             }
         }
         drain(node);
