--- a/Source/consensus/consensus.h
+++ b/Source/consensus/consensus.h
@@ -1,6 +1,5 @@
 #pragma once
-/// The replicated log: a pure core, its files, and the loop step that joins the two.
-/// This is the library's one public header.
+/// Public header of the replicated log: the Raft core, its storage, and the host that connects the two.
 #include "consensus/file_log_store.h"
 #include "consensus/memory_log_store.h"
 #include "consensus/raft_core.h"
--- a/Source/consensus/file_log_store.cpp
+++ b/Source/consensus/file_log_store.cpp
@@ -20,7 +20,7 @@
     constexpr const char* snapshotFile = "snapshot";
     constexpr const char* logFile = "log";
 
-    /// Precedes each payload in every file.
+    /// Header of each record; every file is a sequence of records.
     struct record_header {
         std::uint32_t magic;
         std::uint32_t size;
@@ -29,10 +29,10 @@
 
     failure fileFailure(const std::string& path, const char* action)
     {
-        return failure { fmt::format("{}: can't {}: {}", path, action, std::strerror(errno)) };
+        return failure { fmt::format("{}: cannot {}: {}", path, action, std::strerror(errno)) };
     }
 
-    std::string frame(const std::string& payload)
+    std::string encodeRecord(const std::string& payload)
     {
         record_header header { recordMagic, static_cast<std::uint32_t>(payload.size()), XXH3_64bits(payload.data(), payload.size()) };
         std::string bytes(reinterpret_cast<const char*>(&header), sizeof header);
@@ -59,10 +59,10 @@
         return { true, sizeof header + header.size, std::move(payload) };
     }
 
-    /// Whether the bytes from the offset on are what a crash during an append leaves: a record that the file
-    /// ends inside of, or one whose last part was never written and reads as zeros. A whole record with a wrong
-    /// checksum is neither: it was synced, perhaps acknowledged, and has rotted since.
-    bool looksTorn(const std::string& bytes, std::size_t offset)
+    /// Whether the bytes from the offset on can result from a crash during an append: a record that extends past the
+    /// end of the file, or one whose last part was never written and reads as zeros. A complete record with a wrong
+    /// checksum cannot: it was synced, possibly acknowledged, and corrupted later.
+    bool isTornWrite(const std::string& bytes, std::size_t offset)
     {
         record_header header {};
         if (bytes.size() - offset < sizeof header)
@@ -73,7 +73,7 @@
             return zeroTail && bytes.find_first_not_of('\0', offset) == std::string::npos;
         auto end = offset + sizeof header + header.size;
         if (end > bytes.size()) {
-            // A length that rotted also reaches past the end; then whole records still follow.
+            // A corrupted length also extends past the end, but then complete records follow.
             for (auto next = offset + 1; next + sizeof header <= bytes.size(); ++next) {
                 if (parseRecord(bytes, next).valid)
                     return false;
@@ -109,10 +109,10 @@
         return ok();
     }
 
-    void takeLogRecord(const wire::log_entry& entry, raft_persistent_state& restored)
+    void replayLogRecord(const wire::log_entry& entry, raft_persistent_state& restored)
     {
         auto& entries = restored.entries;
-        // A later record with the same index replaces that entry and all after it.
+        // A later record with the same index replaces that entry and all entries after it.
         while (!entries.empty() && entries.back().index() >= entry.index())
             entries.pop_back();
         if (entry.index() > restored.snapshot.index())
@@ -122,8 +122,8 @@
 
 file_log_store::file_log_store(file_log_store&& other) noexcept
     : m_folder(std::move(other.m_folder))
-    , m_lock(std::exchange(other.m_lock, -1))
-    , m_log(std::exchange(other.m_log, -1))
+    , m_lockDescriptor(std::exchange(other.m_lockDescriptor, -1))
+    , m_logDescriptor(std::exchange(other.m_logDescriptor, -1))
 {
 }
 
@@ -134,55 +134,55 @@
 
 void file_log_store::close()
 {
-    for (int* descriptor : { &m_log, &m_lock }) {
+    for (int* descriptor : { &m_logDescriptor, &m_lockDescriptor }) {
         if (*descriptor >= 0)
             ::close(std::exchange(*descriptor, -1));
     }
 }
 
-result<stored_replica> file_log_store::open(const std::string& folder, std::optional<std::uint64_t> identityIfFresh)
+result<stored_replica> file_log_store::open(const std::string& folder, std::optional<std::uint64_t> incarnationIfNew)
 {
     m_folder = folder;
-    m_lock = ::open(path(lockFile).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (m_lock < 0)
-        return fileFailure(path(lockFile), "open; create the data folder first");
-    if (::flock(m_lock, LOCK_EX | LOCK_NB) != 0)
-        return failure { fmt::format("{}: another process uses this data folder; stop it first", folder) };
+    m_lockDescriptor = ::open(path(lockFile).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
+    if (m_lockDescriptor < 0)
+        return fileFailure(path(lockFile), "open (the data folder must exist)");
+    if (::flock(m_lockDescriptor, LOCK_EX | LOCK_NB) != 0)
+        return failure { fmt::format("{}: another process is using this data folder; stop it first", folder) };
 
     stored_replica replica;
     bool present = false;
-    BOOST_OUTCOME_TRY(auto incarnation, readWhole(incarnationFile, present));
-    replica.fresh = !present;
+    BOOST_OUTCOME_TRY(auto incarnation, readFile(incarnationFile, present));
+    replica.isNew = !present;
     if (present) {
         replica.incarnation = std::strtoull(incarnation.c_str(), nullptr, 10);
     } else {
-        // The identity is synced before anything else, so no vote can be given under an identity that a crash forgets.
+        // The incarnation is synced before anything else: a vote must not be cast under an incarnation that a crash loses.
         if (::access(path(logFile).c_str(), F_OK) == 0)
-            return failure { fmt::format("{}: a log without an incarnation file; restore the file or empty the folder", folder) };
-        replica.incarnation = identityIfFresh.value_or(freshIncarnation());
-        BOOST_OUTCOME_TRYV(writeWhole(incarnationFile, std::to_string(replica.incarnation)));
+            return failure { fmt::format("{}: the folder has a log but no incarnation file; restore the file or empty the folder", folder) };
+        replica.incarnation = incarnationIfNew.value_or(freshIncarnation());
+        BOOST_OUTCOME_TRYV(writeFile(incarnationFile, std::to_string(replica.incarnation)));
     }
-    BOOST_OUTCOME_TRY(auto hardState, readWhole(hardStateFile, present));
+    BOOST_OUTCOME_TRY(auto hardState, readFile(hardStateFile, present));
     if (!replica.restored.hardState.ParseFromString(hardState))
-        return failure { fmt::format("{}: can't be decoded", path(hardStateFile)) };
-    BOOST_OUTCOME_TRY(auto snapshot, readWhole(snapshotFile, present));
+        return failure { fmt::format("{}: cannot be decoded", path(hardStateFile)) };
+    BOOST_OUTCOME_TRY(auto snapshot, readFile(snapshotFile, present));
     if (!replica.restored.snapshot.ParseFromString(snapshot))
-        return failure { fmt::format("{}: can't be decoded", path(snapshotFile)) };
+        return failure { fmt::format("{}: cannot be decoded", path(snapshotFile)) };
     BOOST_OUTCOME_TRYV(readLog(replica));
     return replica;
 }
 
-result<stored_replica> file_log_store::openAfterFailure(const std::string& folder, std::optional<std::uint64_t> identityIfFresh)
+result<stored_replica> file_log_store::openAfterFailure(const std::string& folder, std::optional<std::uint64_t> incarnationIfNew)
 {
-    BOOST_OUTCOME_TRY(auto replica, open(folder, identityIfFresh));
+    BOOST_OUTCOME_TRY(auto replica, open(folder, incarnationIfNew));
     BOOST_OUTCOME_TRYV(compact(replica.restored.snapshot, replica.restored.entries));
     return replica;
 }
 
 result<void> file_log_store::readLog(stored_replica& replica)
 {
-    m_log = ::open(path(logFile).c_str(), O_CREAT | O_RDWR | O_APPEND | O_CLOEXEC, 0600);
-    if (m_log < 0)
+    m_logDescriptor = ::open(path(logFile).c_str(), O_CREAT | O_RDWR | O_APPEND | O_CLOEXEC, 0600);
+    if (m_logDescriptor < 0)
         return fileFailure(path(logFile), "open");
     std::ifstream file(path(logFile), std::ios::binary);
     std::stringstream content;
@@ -194,20 +194,20 @@
         auto record = parseRecord(bytes, offset);
         wire::log_entry entry;
         if (record.valid && entry.ParseFromString(record.payload)) {
-            takeLogRecord(entry, replica.restored);
+            replayLogRecord(entry, replica.restored);
             offset += record.size;
             continue;
         }
-        if (!looksTorn(bytes, offset))
+        if (!isTornWrite(bytes, offset))
             return failure { fmt::format("{}: damaged at byte {} of {}; empty the data folder so that this VM rejoins as a new replica, or restore it from a backup", path(logFile), offset, bytes.size()) };
         replica.tornBytes = bytes.size() - offset;
-        if (::ftruncate(m_log, static_cast<off_t>(offset)) != 0)
-            return fileFailure(path(logFile), "cut off the torn end");
+        if (::ftruncate(m_logDescriptor, static_cast<off_t>(offset)) != 0)
+            return fileFailure(path(logFile), "truncate the incomplete record at the end");
         break;
     }
-    // A process that was killed before it synced leaves entries that can be read and that a power cut takes. They would
-    // count towards a majority as soon as this replica tells of them.
-    if (::fdatasync(m_log) != 0)
+    // A process killed before its sync leaves entries that are readable but not durable: a power failure can still lose
+    // them. They must be durable before this replica acknowledges them and they count towards a majority.
+    if (::fdatasync(m_logDescriptor) != 0)
         return fileFailure(path(logFile), "sync");
     auto expected = replica.restored.snapshot.index();
     for (const auto& entry : replica.restored.entries) {
@@ -219,76 +219,76 @@
 
 result<void> file_log_store::persist(const raft_ready& ready)
 {
-    // The snapshot goes first: the entries that follow it would otherwise leave a gap after a crash.
+    // The snapshot is written first; otherwise a crash could leave a gap between the log and the entries after the snapshot.
     if (ready.snapshot) {
         BOOST_OUTCOME_TRYV(compact(*ready.snapshot, {}));
     }
     if (ready.hardState) {
-        BOOST_OUTCOME_TRYV(writeWhole(hardStateFile, ready.hardState->SerializeAsString()));
+        BOOST_OUTCOME_TRYV(writeFile(hardStateFile, ready.hardState->SerializeAsString()));
     }
     if (ready.append.empty())
         return ok();
     std::string bytes;
     for (const auto& entry : ready.append)
-        bytes += frame(entry.SerializeAsString());
+        bytes += encodeRecord(entry.SerializeAsString());
     return appendBytes(bytes);
 }
 
 result<void> file_log_store::appendBytes(const std::string& bytes)
 {
-    BOOST_OUTCOME_TRYV(writeAll(m_log, bytes, path(logFile)));
-    if (::fdatasync(m_log) != 0)
+    BOOST_OUTCOME_TRYV(writeAll(m_logDescriptor, bytes, path(logFile)));
+    if (::fdatasync(m_logDescriptor) != 0)
         return fileFailure(path(logFile), "sync");
     return ok();
 }
 
-result<void> file_log_store::compact(const wire::raft_snapshot& snapshot, const std::vector<wire::log_entry>& rest)
+result<void> file_log_store::compact(const wire::raft_snapshot& snapshot, const std::vector<wire::log_entry>& remainingEntries)
 {
-    BOOST_OUTCOME_TRYV(writeWhole(snapshotFile, snapshot.SerializeAsString()));
-    return rewriteLog(rest);
+    BOOST_OUTCOME_TRYV(writeFile(snapshotFile, snapshot.SerializeAsString()));
+    return rewriteLog(remainingEntries);
 }
 
 result<void> file_log_store::rewriteLog(const std::vector<wire::log_entry>& entries)
 {
-    auto temporary = path("log.new");
-    int descriptor = ::open(temporary.c_str(), O_CREAT | O_TRUNC | O_RDWR | O_APPEND | O_CLOEXEC, 0600);
+    auto temporaryPath = path("log.new");
+    int descriptor = ::open(temporaryPath.c_str(), O_CREAT | O_TRUNC | O_RDWR | O_APPEND | O_CLOEXEC, 0600);
     if (descriptor < 0)
-        return fileFailure(temporary, "open");
-    std::swap(m_log, descriptor);
+        return fileFailure(temporaryPath, "open");
+    std::swap(m_logDescriptor, descriptor);
     ::close(descriptor);
     std::string bytes;
     for (const auto& entry : entries)
-        bytes += frame(entry.SerializeAsString());
+        bytes += encodeRecord(entry.SerializeAsString());
     if (auto written = appendBytes(bytes); !written) {
-        ::unlink(temporary.c_str());
+        ::unlink(temporaryPath.c_str());
         return written;
     }
-    if (::rename(temporary.c_str(), path(logFile).c_str()) != 0)
-        return fileFailure(temporary, "rename");
+    if (::rename(temporaryPath.c_str(), path(logFile).c_str()) != 0)
+        return fileFailure(temporaryPath, "rename");
     return syncFolder(m_folder);
 }
 
-result<void> file_log_store::writeWhole(const char* name, const std::string& payload)
+result<void> file_log_store::writeFile(const char* name, const std::string& payload)
 {
-    auto temporary = path(name) + ".new";
-    int descriptor = ::open(temporary.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
+    auto temporaryPath = path(name) + ".new";
+    int descriptor = ::open(temporaryPath.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
     if (descriptor < 0)
-        return fileFailure(temporary, "open");
-    auto written = writeAll(descriptor, frame(payload), temporary);
+        return fileFailure(temporaryPath, "open");
+    auto written = writeAll(descriptor, encodeRecord(payload), temporaryPath);
     if (written && ::fdatasync(descriptor) != 0)
-        written = fileFailure(temporary, "sync");
+        written = fileFailure(temporaryPath, "sync");
     ::close(descriptor);
     if (!written) {
-        // A part of a file would go on taking room from a disk that is full.
-        ::unlink(temporary.c_str());
+        // A partial file would keep using space on a disk that may be full.
+        ::unlink(temporaryPath.c_str());
         return written;
     }
-    if (::rename(temporary.c_str(), path(name).c_str()) != 0)
-        return fileFailure(temporary, "rename");
+    if (::rename(temporaryPath.c_str(), path(name).c_str()) != 0)
+        return fileFailure(temporaryPath, "rename");
     return syncFolder(m_folder);
 }
 
-result<std::string> file_log_store::readWhole(const char* name, bool& present) const
+result<std::string> file_log_store::readFile(const char* name, bool& present) const
 {
     std::ifstream file(path(name), std::ios::binary);
     present = static_cast<bool>(file);
--- a/Source/consensus/memory_log.cpp
+++ b/Source/consensus/memory_log.cpp
@@ -32,7 +32,7 @@
 
 void memory_log::append(wire::log_entry entry)
 {
-    // A gap in the log would shift every later index, so it must never pass unseen.
+    // A gap would shift the index of every later entry, so a broken precondition ends the process.
     if (entry.index() != lastIndex() + 1)
         std::abort();
     m_entries.push_back(std::move(entry));
--- a/Source/consensus/memory_log.h
+++ b/Source/consensus/memory_log.h
@@ -5,11 +5,10 @@
 
 namespace pistachiolatch {
 
-/// The part of the replicated log after the last snapshot, in memory.
-/// Not thread-safe.
+/// Holds the replicated log after the last snapshot in memory. Not thread-safe.
 class memory_log {
 public:
-    /// Starts behind a snapshot; entries follow it without a gap.
+    /// Precondition: the entries follow the snapshot without a gap.
     memory_log(std::uint64_t snapshotIndex, std::uint64_t snapshotTerm, std::vector<wire::log_entry> entries);
 
     std::uint64_t firstIndex() const { return m_baseIndex + 1; }
@@ -17,17 +16,17 @@
     std::uint64_t lastTerm() const;
     std::uint64_t baseIndex() const { return m_baseIndex; }
     std::uint64_t baseTerm() const { return m_baseTerm; }
-    /// The term of an entry, or 0 when the log does not hold that index.
+    /// The term of the entry at the index, or 0 if the log does not contain it.
     std::uint64_t termAt(std::uint64_t index) const;
     /// Precondition: firstIndex() <= index <= lastIndex().
     const wire::log_entry& at(std::uint64_t index) const;
     /// Precondition: the entry's index is lastIndex() + 1.
     void append(wire::log_entry entry);
-    /// Drops the entry at the index and all after it.
+    /// Removes the entry at the index and all entries after it.
     void truncateFrom(std::uint64_t index);
-    /// Drops the entries up to the index, which a snapshot now covers.
+    /// Removes the entries up to and including the index, which a snapshot covers.
     void compactTo(std::uint64_t index);
-    /// Replaces everything by a snapshot.
+    /// Removes all entries; the log then starts after a snapshot at the index.
     void reset(std::uint64_t index, std::uint64_t term);
 
 private:
--- a/Source/consensus/memory_log_store.h
+++ b/Source/consensus/memory_log_store.h
@@ -3,19 +3,19 @@
 
 namespace pistachiolatch {
 
-/// What keeps a replica's state through a restart.
+/// Storage that persists a replica's state.
 template <typename T>
-concept log_storage = requires(T store, const raft_ready& ready, const wire::raft_snapshot& snapshot, const std::vector<wire::log_entry>& rest)
+concept log_storage = requires(T store, const raft_ready& ready, const wire::raft_snapshot& snapshot, const std::vector<wire::log_entry>& remainingEntries)
 {
     {
         store.persist(ready)
         } -> std::same_as<result<void>>;
     {
-        store.compact(snapshot, rest)
+        store.compact(snapshot, remainingEntries)
         } -> std::same_as<result<void>>;
 };
 
-/// The storage of a replica without a disk: nothing lasts, so each start is a new replica identity.
+/// Storage of a replica without a disk. It keeps nothing, so each start needs a new incarnation.
 class memory_log_store {
 public:
     result<void> persist(const raft_ready&) { return ok(); }
--- a/Source/consensus/raft_core.cpp
+++ b/Source/consensus/raft_core.cpp
@@ -16,11 +16,11 @@
     , m_hardState(std::move(restored.hardState))
     , m_snapshot(std::move(restored.snapshot))
     , m_log(m_snapshot.index(), m_snapshot.term(), std::move(restored.entries))
-    , m_commit(m_snapshot.index())
+    , m_commitIndex(m_snapshot.index())
     , m_now(now)
-    // A replica that restarts may have promised a leader its silence just before. Counting the start as word
-    // from a leader keeps that promise; otherwise its vote could end a lease that still runs.
-    , m_heardLeaderAt(now)
+    // A replica that restarts may have acknowledged a heartbeat just before. Treating the start as contact with a leader
+    // keeps it from voting for another candidate while that leader's lease is still valid.
+    , m_lastLeaderContact(now)
 {
     refreshMembers();
     resetElectionTimer(now);
@@ -28,12 +28,12 @@
 
 void raft_core::bootstrap()
 {
-    wire::replica_set first;
-    *first.add_voters() = m_self;
-    bootstrap(first);
+    wire::replica_set voters;
+    *voters.add_voters() = m_self;
+    bootstrap(voters);
 }
 
-void raft_core::bootstrap(const wire::replica_set& founders)
+void raft_core::bootstrap(const wire::replica_set& voters)
 {
     m_hardState.set_term(1);
     saveHardState();
@@ -41,7 +41,7 @@
     entry.set_index(1);
     entry.set_term(1);
     entry.set_kind(wire::ENTRY_MEMBERSHIP);
-    entry.set_data(founders.SerializeAsString());
+    entry.set_data(voters.SerializeAsString());
     m_ready.append.push_back(entry);
     m_log.append(std::move(entry));
     refreshMembers();
@@ -52,14 +52,14 @@
     m_now = now;
     if (m_role == raft_role::Leader) {
         if (leaseValid(now))
-            m_heardLeaderAt = now;
-        // A leader that lost its quorum steps down, so that callers hear "no quorum" and not an old state.
-        if (now - m_heardLeaderAt > m_settings.maxElectionTimeout) {
+            m_lastLeaderContact = now;
+        // A leader that lost its quorum steps down, so that callers get "no quorum" instead of stale state.
+        if (now - m_lastLeaderContact > m_settings.maxElectionTimeout) {
             becomeFollower(term(), now);
             return;
         }
-        stepMembership(now);
-        if (now >= m_heartbeatDue || m_broadcastWanted)
+        updateMembership(now);
+        if (now >= m_heartbeatDue || m_broadcastPending)
             broadcast(now, true);
         return;
     }
@@ -70,32 +70,32 @@
 void raft_core::step(const wire::raft_message& message, time_point now)
 {
     m_now = now;
-    // A message for an earlier incarnation of this VM is not for this replica.
+    // Ignore messages to an earlier incarnation of this VM.
     if (keyOf(message.to()) != keyOf(m_self))
         return;
     switch (message.kind()) {
     case wire::RAFT_PRE_VOTE:
     case wire::RAFT_VOTE:
-        onVoteRequest(message, now);
+        handleVoteRequest(message, now);
         return;
     case wire::RAFT_PRE_VOTE_REPLY:
     case wire::RAFT_VOTE_REPLY:
-        onVoteReply(message, now);
+        handleVoteReply(message, now);
         return;
     case wire::RAFT_APPEND:
-        onAppend(message, now);
+        handleAppend(message, now);
         return;
     case wire::RAFT_APPEND_REPLY:
-        onAppendReply(message, now);
+        handleAppendReply(message, now);
         return;
     case wire::RAFT_SNAPSHOT:
-        onSnapshot(message, now);
+        handleSnapshot(message, now);
         return;
     case wire::RAFT_SNAPSHOT_PIECE:
-        onSnapshotPiece(message, now);
+        handleSnapshotPiece(message, now);
         return;
     case wire::RAFT_SNAPSHOT_PIECE_REPLY:
-        onSnapshotPieceReply(message, now);
+        handleSnapshotPieceReply(message, now);
         return;
     default:
         return;
@@ -106,11 +106,11 @@
 {
     if (m_role != raft_role::Leader)
         return std::nullopt;
-    appendOwn(wire::ENTRY_COMMAND, std::move(command));
+    appendAsLeader(wire::ENTRY_COMMAND, std::move(command));
     return log_position { m_log.lastIndex(), term() };
 }
 
-void raft_core::appendOwn(wire::entry_kind kind, std::string data)
+void raft_core::appendAsLeader(wire::entry_kind kind, std::string data)
 {
     wire::log_entry entry;
     entry.set_index(m_log.lastIndex() + 1);
@@ -121,18 +121,18 @@
     m_log.append(std::move(entry));
     if (kind == wire::ENTRY_MEMBERSHIP)
         refreshMembers();
-    m_broadcastWanted = true;
+    m_broadcastPending = true;
     advanceCommit();
 }
 
 void raft_core::compact(std::uint64_t index, std::string state)
 {
-    if (index <= m_log.baseIndex() || index > m_commit)
+    if (index <= m_log.baseIndex() || index > m_commitIndex)
         return;
     m_snapshot.set_index(index);
     m_snapshot.set_term(m_log.termAt(index));
     m_snapshot.set_state(std::move(state));
-    // The members as of the snapshot: the newest membership entry at or before its index.
+    // The members at the snapshot's index: those of the newest membership entry up to it.
     for (auto i = index; i >= m_log.firstIndex(); --i) {
         if (m_log.at(i).kind() != wire::ENTRY_MEMBERSHIP)
             continue;
@@ -144,9 +144,9 @@
 
 raft_ready raft_core::takeReady()
 {
-    if (m_role == raft_role::Leader && m_broadcastWanted)
+    if (m_role == raft_role::Leader && m_broadcastPending)
         broadcast(m_now, !m_reads.empty());
-    answerReads();
+    completeReads();
     return std::exchange(m_ready, {});
 }
 
@@ -168,7 +168,7 @@
     resetElectionTimer(now);
 }
 
-void raft_core::onAppend(const wire::raft_message& message, time_point now)
+void raft_core::handleAppend(const wire::raft_message& message, time_point now)
 {
     auto reply = makeMessage(wire::RAFT_APPEND_REPLY, message.from());
     if (message.term() < term()) {
@@ -184,21 +184,21 @@
     bool matches = covered || m_log.termAt(message.index()) == message.log_term();
     if (!matches || (message.index() > m_log.lastIndex())) {
         reply.set_reject(true);
-        // The leader steps back to just after what this replica can hold.
+        // The leader continues after this index, the last one at which the logs can match.
         reply.set_index(std::min(m_log.lastIndex(), message.index() > 0 ? message.index() - 1 : 0));
         send(std::move(reply));
         return;
     }
-    takeEntries(message);
+    appendEntries(message);
     auto lastNew = message.index() + static_cast<std::uint64_t>(message.entries_size());
-    // What a snapshot covers is committed, so it matches without a look at its term.
-    auto matched = std::max(lastNew, covered ? m_log.baseIndex() : 0);
-    commitTo(std::min(message.commit(), matched));
-    reply.set_index(matched);
+    // Entries covered by the snapshot are committed, so they match without comparing terms.
+    auto matchIndex = std::max(lastNew, covered ? m_log.baseIndex() : 0);
+    commitTo(std::min(message.commit(), matchIndex));
+    reply.set_index(matchIndex);
     send(std::move(reply));
 }
 
-void raft_core::takeEntries(const wire::raft_message& message)
+void raft_core::appendEntries(const wire::raft_message& message)
 {
     for (const auto& entry : message.entries()) {
         if (entry.index() <= m_log.baseIndex() || m_log.termAt(entry.index()) == entry.term())
@@ -206,7 +206,7 @@
         if (entry.index() <= m_log.lastIndex()) {
             m_log.truncateFrom(entry.index());
             m_ready.truncateFrom = m_ready.truncateFrom ? std::min(m_ready.truncateFrom, entry.index()) : entry.index();
-            std::erase_if(m_ready.append, [&](const auto& waiting) { return waiting.index() >= entry.index(); });
+            std::erase_if(m_ready.append, [&](const auto& pending) { return pending.index() >= entry.index(); });
         }
         m_ready.append.push_back(entry);
         m_log.append(entry);
@@ -219,65 +219,65 @@
     if (message.term() > term() || m_role != raft_role::Follower)
         becomeFollower(message.term(), now);
     m_leader = message.from();
-    m_heardLeaderAt = now;
+    m_lastLeaderContact = now;
     resetElectionTimer(now);
 }
 
-void raft_core::onSnapshot(const wire::raft_message& message, time_point now)
+void raft_core::handleSnapshot(const wire::raft_message& message, time_point now)
 {
     if (message.term() < term())
         return;
     followLeader(message, now);
-    install(message.snapshot());
+    installSnapshot(message.snapshot());
     acknowledgeSnapshot(message, message.snapshot().index());
 }
 
-void raft_core::onSnapshotPiece(const wire::raft_message& message, time_point now)
+void raft_core::handleSnapshotPiece(const wire::raft_message& message, time_point now)
 {
     if (message.term() < term())
         return;
     followLeader(message, now);
-    // The word that it was taken was lost.
-    if (message.index() <= m_commit) {
+    // The snapshot was already installed; its acknowledgement was lost.
+    if (message.index() <= m_commitIndex) {
         acknowledgeSnapshot(message, message.index());
         return;
     }
-    bool another = message.index() != m_incoming.index || message.log_term() != m_incoming.term || message.snapshot_bytes() != m_incoming.bytes;
-    if (another)
-        m_incoming = { message.index(), message.log_term(), message.snapshot_bytes(), {} };
-    if (message.piece_offset() == m_incoming.data.size())
-        m_incoming.data += message.piece();
-    if (m_incoming.data.size() < m_incoming.bytes) {
+    bool differentSnapshot = message.index() != m_incomingSnapshot.index || message.log_term() != m_incomingSnapshot.term || message.snapshot_bytes() != m_incomingSnapshot.bytes;
+    if (differentSnapshot)
+        m_incomingSnapshot = { message.index(), message.log_term(), message.snapshot_bytes(), {} };
+    if (message.piece_offset() == m_incomingSnapshot.data.size())
+        m_incomingSnapshot.data += message.piece();
+    if (m_incomingSnapshot.data.size() < m_incomingSnapshot.bytes) {
         auto reply = makeMessage(wire::RAFT_SNAPSHOT_PIECE_REPLY, message.from());
         reply.set_round(message.round());
         reply.set_index(message.index());
-        reply.set_piece_offset(m_incoming.data.size());
+        reply.set_piece_offset(m_incomingSnapshot.data.size());
         send(std::move(reply));
         return;
     }
     wire::raft_snapshot snapshot;
-    bool readable = m_incoming.data.size() == m_incoming.bytes && snapshot.ParseFromString(m_incoming.data) && snapshot.index() == message.index();
-    m_incoming = {};
-    // What can't be read is asked for again from its start, by the silence that follows.
-    if (!readable)
+    bool valid = m_incomingSnapshot.data.size() == m_incomingSnapshot.bytes && snapshot.ParseFromString(m_incomingSnapshot.data) && snapshot.index() == message.index();
+    m_incomingSnapshot = {};
+    // Without a reply to an invalid snapshot, the leader's retry starts the transfer again from the beginning.
+    if (!valid)
         return;
-    install(snapshot);
+    installSnapshot(snapshot);
     acknowledgeSnapshot(message, snapshot.index());
 }
 
-void raft_core::install(const wire::raft_snapshot& snapshot)
+void raft_core::installSnapshot(const wire::raft_snapshot& snapshot)
 {
-    // A snapshot that came late, or twice, may end inside what this log already holds. The entries behind it were
-    // acknowledged; dropping them would leave the leader counting a copy that is gone.
-    bool alreadyHeld = m_log.termAt(snapshot.index()) == snapshot.term();
-    if (alreadyHeld)
+    // A delayed or duplicated snapshot may end within this log. The entries after it were acknowledged; removing them
+    // would leave the leader counting copies that no longer exist.
+    bool alreadyInLog = m_log.termAt(snapshot.index()) == snapshot.term();
+    if (alreadyInLog)
         commitTo(snapshot.index());
-    if (alreadyHeld || snapshot.index() <= m_commit)
+    if (alreadyInLog || snapshot.index() <= m_commitIndex)
         return;
     m_snapshot = snapshot;
     m_log.reset(snapshot.index(), snapshot.term());
-    m_commit = snapshot.index();
-    // Entries handed out but not yet persisted lie before the snapshot or contradict it.
+    m_commitIndex = snapshot.index();
+    // Pending entries that are not persisted yet precede the snapshot or conflict with it.
     m_ready.append.clear();
     m_ready.committed.clear();
     m_ready.truncateFrom = 0;
@@ -289,19 +289,19 @@
 {
     auto reply = makeMessage(wire::RAFT_APPEND_REPLY, message.from());
     reply.set_round(message.round());
-    reply.set_index(std::max(m_commit, index));
+    reply.set_index(std::max(m_commitIndex, index));
     send(std::move(reply));
 }
 
 void raft_core::commitTo(std::uint64_t index)
 {
-    for (; m_commit < index; ++m_commit)
-        m_ready.committed.push_back(m_log.at(m_commit + 1));
+    for (; m_commitIndex < index; ++m_commitIndex)
+        m_ready.committed.push_back(m_log.at(m_commitIndex + 1));
 }
 
 void raft_core::refreshMembers()
 {
-    // The newest membership in the log counts from the moment it is appended, committed or not.
+    // The newest membership entry in the log takes effect when it is appended, committed or not.
     for (auto i = m_log.lastIndex(); i >= m_log.firstIndex() && i > 0; --i) {
         if (m_log.at(i).kind() != wire::ENTRY_MEMBERSHIP)
             continue;
--- a/Source/consensus/raft_host.h
+++ b/Source/consensus/raft_host.h
@@ -5,23 +5,23 @@
 
 namespace pistachiolatch {
 
-/// What a host does with the effects of its core.
+/// Callbacks through which a raft_host sends messages, applies entries, restores snapshots and completes reads.
 struct raft_callbacks {
     std::function<void(const wire::raft_message&)> send;
     std::function<void(const wire::log_entry&)> apply;
     std::function<void(const wire::raft_snapshot&)> restore;
-    std::function<void(std::uint64_t id, bool done)> completeRead;
+    std::function<void(std::uint64_t id, bool confirmed)> completeRead;
 };
 
-/// Joins a raft_core with its storage: persists before it sends or applies.
+/// Connects a raft_core to its storage and its callbacks; persists state before it sends messages or applies entries.
 /// Not thread-safe.
 template <log_storage Storage>
 class raft_host {
 public:
-    raft_host(raft_core core, Storage storage, raft_callbacks effects)
+    raft_host(raft_core core, Storage storage, raft_callbacks callbacks)
         : m_core(std::move(core))
         , m_storage(std::move(storage))
-        , m_effects(std::move(effects))
+        , m_callbacks(std::move(callbacks))
     {
     }
 
@@ -30,62 +30,62 @@
 
     Storage& storage() { return m_storage; }
 
-    /// Carries out what the core asks for. An error of the storage is final: the core believes in what was not stored, and
-    /// must not acknowledge it. The replica has to be read from its files again.
+    /// Processes the pending output of the core. A storage error is final: the core already includes state that was not
+    /// stored and must not acknowledge it. The replica has to be reopened from its files.
     result<void> processReady()
     {
-        // Applying may make the core ask for more; two rounds settle nearly always, the rest waits for the next tick.
-        constexpr int mostRounds = 4;
-        for (int round = 0; round < mostRounds; ++round) {
+        // Callbacks can produce further output. Two iterations nearly always suffice; the rest waits for the next tick.
+        constexpr int maxIterations = 4;
+        for (int i = 0; i < maxIterations; ++i) {
             auto ready = m_core.takeReady();
-            // Effects may have led to a round within this one.
-            if (m_failed)
-                return *m_failed;
+            // A callback may have called processReady() itself, and that call may have failed.
+            if (m_storageError)
+                return *m_storageError;
             if (isEmpty(ready))
                 return ok();
-            BOOST_OUTCOME_TRYV(keepFailure(m_storage.persist(ready)));
+            BOOST_OUTCOME_TRYV(recordError(m_storage.persist(ready)));
             if (ready.snapshot)
-                m_effects.restore(*ready.snapshot);
+                m_callbacks.restore(*ready.snapshot);
             for (const auto& message : ready.messages)
-                m_effects.send(message);
+                m_callbacks.send(message);
             for (const auto& entry : ready.committed)
-                m_effects.apply(entry);
-            for (auto id : ready.readsDone)
-                m_effects.completeRead(id, true);
-            for (auto id : ready.readsFailed)
-                m_effects.completeRead(id, false);
+                m_callbacks.apply(entry);
+            for (auto id : ready.confirmedReads)
+                m_callbacks.completeRead(id, true);
+            for (auto id : ready.failedReads)
+                m_callbacks.completeRead(id, false);
         }
         return ok();
     }
 
-    /// Puts the state up to the commit index into a snapshot and drops the log before it.
+    /// Stores the state up to the index as a snapshot and removes the log entries that it covers.
     result<void> compact(std::uint64_t index, std::string state)
     {
         m_core.compact(index, std::move(state));
-        std::vector<wire::log_entry> rest;
+        std::vector<wire::log_entry> remainingEntries;
         for (auto i = m_core.log().firstIndex(); i <= m_core.log().lastIndex(); ++i)
-            rest.push_back(m_core.log().at(i));
-        return keepFailure(m_storage.compact(m_core.snapshot(), rest));
+            remainingEntries.push_back(m_core.log().at(i));
+        return recordError(m_storage.compact(m_core.snapshot(), remainingEntries));
     }
 
 private:
-    result<void> keepFailure(result<void> stored)
+    result<void> recordError(result<void> outcome)
     {
-        if (!stored)
-            m_failed = stored.error();
-        return stored;
+        if (!outcome)
+            m_storageError = outcome.error();
+        return outcome;
     }
 
     static bool isEmpty(const raft_ready& ready)
     {
         return !ready.hardState && !ready.snapshot && ready.append.empty() && ready.messages.empty() && ready.committed.empty()
-            && ready.readsDone.empty() && ready.readsFailed.empty();
+            && ready.confirmedReads.empty() && ready.failedReads.empty();
     }
 
     raft_core m_core;
     Storage m_storage;
-    raft_callbacks m_effects;
-    std::optional<failure> m_failed;
+    raft_callbacks m_callbacks;
+    std::optional<failure> m_storageError;
 };
 
 } // namespace pistachiolatch
--- a/Source/consensus/raft_leader.cpp
+++ b/Source/consensus/raft_leader.cpp
@@ -5,9 +5,9 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr std::size_t mostRoundsKept = 64;
-    constexpr int mostVoters = 5;
-    // The lease ends a tenth before the followers' silence does, for clocks that run at different speeds.
+    constexpr std::size_t maxTrackedRounds = 64;
+    constexpr int maxVoters = 5;
+    // The lease lasts nine tenths of the minimum election timeout, to allow for clocks that run at different speeds.
     constexpr int leaseTenths = 9;
 }
 
@@ -23,8 +23,8 @@
             continue;
         follower_progress progress;
         progress.id = voter;
-        progress.next = m_log.lastIndex() + 1;
-        progress.lastHeard = m_now;
+        progress.nextIndex = m_log.lastIndex() + 1;
+        progress.lastContact = m_now;
         progress.voter = true;
         m_progress.emplace(key, std::move(progress));
     }
@@ -32,10 +32,10 @@
 
 void raft_core::broadcast(time_point now, bool newRound)
 {
-    m_broadcastWanted = false;
+    m_broadcastPending = false;
     if (newRound) {
         m_rounds.push_back({ ++m_round, now });
-        if (m_rounds.size() > mostRoundsKept)
+        if (m_rounds.size() > maxTrackedRounds)
             m_rounds.erase(m_rounds.begin());
         m_heartbeatDue = now + m_settings.heartbeatInterval;
     }
@@ -45,40 +45,40 @@
 
 void raft_core::sendAppend(follower_progress& progress, time_point now)
 {
-    if (progress.next <= m_log.baseIndex()) {
+    if (progress.nextIndex <= m_log.baseIndex()) {
         sendSnapshot(progress, now);
         return;
     }
     auto message = makeMessage(wire::RAFT_APPEND, progress.id);
-    message.set_index(progress.next - 1);
-    message.set_log_term(m_log.termAt(progress.next - 1));
-    message.set_commit(m_commit);
+    message.set_index(progress.nextIndex - 1);
+    message.set_log_term(m_log.termAt(progress.nextIndex - 1));
+    message.set_commit(m_commitIndex);
     message.set_round(m_round);
     std::size_t bytes = 0;
-    while (progress.next <= m_log.lastIndex() && bytes < m_settings.mostBytesPerMessage
-        && static_cast<std::size_t>(message.entries_size()) < m_settings.mostEntriesPerMessage) {
-        const auto& entry = m_log.at(progress.next++);
+    while (progress.nextIndex <= m_log.lastIndex() && bytes < m_settings.maxBytesPerMessage
+        && static_cast<std::size_t>(message.entries_size()) < m_settings.maxEntriesPerMessage) {
+        const auto& entry = m_log.at(progress.nextIndex++);
         bytes += entry.data().size();
         *message.add_entries() = entry;
     }
     send(std::move(message));
 }
 
-std::shared_ptr<const raft_core::written_snapshot> raft_core::newestWrittenSnapshot()
+std::shared_ptr<const raft_core::serialized_snapshot> raft_core::serializeSnapshot()
 {
-    if (!m_writtenSnapshot || m_writtenSnapshot->index != m_snapshot.index())
-        m_writtenSnapshot = std::make_shared<written_snapshot>(written_snapshot { m_snapshot.index(), m_snapshot.term(), m_snapshot.SerializeAsString() });
-    return m_writtenSnapshot;
+    if (!m_serializedSnapshot || m_serializedSnapshot->index != m_snapshot.index())
+        m_serializedSnapshot = std::make_shared<serialized_snapshot>(serialized_snapshot { m_snapshot.index(), m_snapshot.term(), m_snapshot.SerializeAsString() });
+    return m_serializedSnapshot;
 }
 
 void raft_core::sendSnapshot(follower_progress& progress, time_point now)
 {
     if (!progress.snapshot) {
-        progress.snapshot = newestWrittenSnapshot();
+        progress.snapshot = serializeSnapshot();
         progress.snapshotOffset = 0;
         progress.snapshotSentAt = {};
     }
-    if (progress.snapshotSentAt != time_point {} && now - progress.snapshotSentAt < m_settings.snapshotRetry)
+    if (progress.snapshotSentAt != time_point {} && now - progress.snapshotSentAt < m_settings.snapshotRetryTimeout)
         return;
     progress.snapshotSentAt = now;
     const auto& snapshot = *progress.snapshot;
@@ -92,7 +92,7 @@
     send(std::move(message));
 }
 
-raft_core::follower_progress* raft_core::noteAnswer(const wire::raft_message& message, time_point now)
+raft_core::follower_progress* raft_core::recordReply(const wire::raft_message& message, time_point now)
 {
     if (message.term() > term()) {
         becomeFollower(message.term(), now);
@@ -102,19 +102,19 @@
     if (m_role != raft_role::Leader || message.term() < term() || found == m_progress.end())
         return nullptr;
     auto& progress = found->second;
-    progress.lastHeard = now;
+    progress.lastContact = now;
     progress.ackedRound = std::max(progress.ackedRound, message.round());
     return &progress;
 }
 
-void raft_core::onSnapshotPieceReply(const wire::raft_message& message, time_point now)
+void raft_core::handleSnapshotPieceReply(const wire::raft_message& message, time_point now)
 {
-    auto* answering = noteAnswer(message, now);
-    if (!answering)
+    auto* follower = recordReply(message, now);
+    if (!follower)
         return;
-    auto& progress = *answering;
+    auto& progress = *follower;
     bool current = progress.snapshot && message.index() == progress.snapshot->index;
-    // A reply that came twice asks for what was sent already.
+    // A duplicate reply asks for a piece that was already sent.
     if (!current || message.piece_offset() == progress.snapshotOffset || message.piece_offset() >= progress.snapshot->data.size())
         return;
     progress.snapshotOffset = message.piece_offset();
@@ -122,21 +122,21 @@
     sendSnapshot(progress, now);
 }
 
-void raft_core::onAppendReply(const wire::raft_message& message, time_point now)
+void raft_core::handleAppendReply(const wire::raft_message& message, time_point now)
 {
-    auto* answering = noteAnswer(message, now);
-    if (!answering)
+    auto* follower = recordReply(message, now);
+    if (!follower)
         return;
-    auto& progress = *answering;
+    auto& progress = *follower;
     if (message.reject()) {
-        progress.next = std::max(progress.match, message.index()) + 1;
+        progress.nextIndex = std::max(progress.matchIndex, message.index()) + 1;
         sendAppend(progress, now);
         return;
     }
-    bool lagging = progress.next <= m_log.lastIndex();
-    progress.match = std::max(progress.match, message.index());
-    progress.next = std::max(progress.next, progress.match + 1);
-    if (progress.snapshot && progress.match >= progress.snapshot->index)
+    bool lagging = progress.nextIndex <= m_log.lastIndex();
+    progress.matchIndex = std::max(progress.matchIndex, message.index());
+    progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
+    if (progress.snapshot && progress.matchIndex >= progress.snapshot->index)
         progress.snapshot.reset();
     advanceCommit();
     if (lagging)
@@ -152,22 +152,22 @@
         matches.push_back(m_log.lastIndex());
     for (const auto& [key, progress] : m_progress) {
         if (progress.voter)
-            matches.push_back(progress.match);
+            matches.push_back(progress.matchIndex);
     }
     if (matches.size() < quorum())
         return;
     std::sort(matches.rbegin(), matches.rend());
     auto candidate = matches[quorum() - 1];
-    if (candidate <= m_commit || m_log.termAt(candidate) != term())
+    if (candidate <= m_commitIndex || m_log.termAt(candidate) != term())
         return;
     commitTo(candidate);
-    // Followers learn of the commit at once, not at the next heartbeat.
-    m_broadcastWanted = true;
+    // Followers are told the new commit index at once, not with the next heartbeat.
+    m_broadcastPending = true;
 }
 
 bool raft_core::hasCommittedInTerm() const
 {
-    return m_role == raft_role::Leader && m_log.termAt(m_commit) == term();
+    return m_role == raft_role::Leader && m_log.termAt(m_commitIndex) == term();
 }
 
 std::uint64_t raft_core::quorumRound() const
@@ -216,31 +216,31 @@
 void raft_core::requestRead(std::uint64_t id)
 {
     if (!hasCommittedInTerm()) {
-        m_ready.readsFailed.push_back(id);
+        m_ready.failedReads.push_back(id);
         return;
     }
-    // Only an acknowledgement of a round sent after the question proves that no newer leader had been elected.
+    // Only an acknowledged round that was sent after the request proves that no newer leader had been elected.
     m_reads.push_back({ id, m_round + 1 });
-    m_broadcastWanted = true;
+    m_broadcastPending = true;
 }
 
-void raft_core::answerReads()
+void raft_core::completeReads()
 {
     if (m_reads.empty())
         return;
     auto confirmed = quorumRound();
-    std::erase_if(m_reads, [&](const pending_read& waiting) {
-        if (waiting.round > confirmed)
+    std::erase_if(m_reads, [&](const pending_read& read) {
+        if (read.round > confirmed)
             return false;
-        m_ready.readsDone.push_back(waiting.id);
+        m_ready.confirmedReads.push_back(read.id);
         return true;
     });
 }
 
 void raft_core::failReads()
 {
-    for (const auto& waiting : m_reads)
-        m_ready.readsFailed.push_back(waiting.id);
+    for (const auto& read : m_reads)
+        m_ready.failedReads.push_back(read.id);
     m_reads.clear();
 }
 
@@ -251,62 +251,62 @@
         return;
     auto found = m_progress.find(key);
     if (found != m_progress.end()) {
-        found->second.lastHeard = now;
+        found->second.lastContact = now;
         return;
     }
     follower_progress progress;
     progress.id = replica;
-    progress.next = m_log.lastIndex() + 1;
-    progress.lastHeard = now;
+    progress.nextIndex = m_log.lastIndex() + 1;
+    progress.lastContact = now;
     sendAppend(m_progress.emplace(key, std::move(progress)).first->second, now);
 }
 
 bool raft_core::membershipChangePending() const
 {
-    return m_membersIndex > m_commit || !hasCommittedInTerm();
+    return m_membersIndex > m_commitIndex || !hasCommittedInTerm();
 }
 
-void raft_core::stepMembership(time_point now)
+void raft_core::updateMembership(time_point now)
 {
     std::erase_if(m_progress, [&](const auto& item) {
-        return !item.second.voter && now - item.second.lastHeard > m_settings.joinerSilence;
+        return !item.second.voter && now - item.second.lastContact > m_settings.learnerTimeout;
     });
     if (membershipChangePending())
         return;
     for (const auto& item : m_progress) {
         const auto& progress = item.second;
-        // A vote only for a replica that holds, synced, all that is committed. Otherwise a second VM lost
-        // right after a repair could take the last copy of an acknowledged entry with it.
-        if (progress.voter || progress.match < m_commit)
+        // Only a replica that has stored all committed entries becomes a voter. Otherwise the loss of a second VM right
+        // after a replacement could remove the last copy of an acknowledged entry.
+        if (progress.voter || progress.matchIndex < m_commitIndex)
             continue;
         auto changed = m_members;
         auto* voters = changed.mutable_voters();
         auto earlier = std::find_if(voters->begin(), voters->end(), [&](const auto& voter) { return voter.vm() == item.first.vm; });
         if (earlier != voters->end())
             voters->erase(earlier);
-        else if (voters->size() < mostVoters)
+        else if (voters->size() < maxVoters)
             *changed.add_voters() = progress.id;
-        else if (!replaceVoter(changed, progress, now))
+        else if (!removeUnresponsiveVoter(changed, progress, now))
             continue;
-        appendOwn(wire::ENTRY_MEMBERSHIP, changed.SerializeAsString());
+        appendAsLeader(wire::ENTRY_MEMBERSHIP, changed.SerializeAsString());
         return;
     }
 }
 
-bool raft_core::replaceVoter(wire::replica_set& changed, const follower_progress& joiner, time_point now) const
+bool raft_core::removeUnresponsiveVoter(wire::replica_set& changed, const follower_progress& learner, time_point now) const
 {
-    // A VM that is gone for good is succeeded by one with another address. While its place stays taken, the log
-    // bears one loss less than it should. The place is freed first and filled by the next change.
-    if (now - joiner.lastHeard > m_settings.heartbeatInterval * 4)
+    // A VM that is lost for good is replaced by one with another address. While the lost VM remains a voter, the log
+    // tolerates one failure less. This change removes it; the next one adds the learner.
+    if (now - learner.lastContact > m_settings.heartbeatInterval * 4)
         return false;
     auto* voters = changed.mutable_voters();
-    auto silent = std::find_if(voters->begin(), voters->end(), [&](const auto& voter) {
+    auto unresponsive = std::find_if(voters->begin(), voters->end(), [&](const auto& voter) {
         auto found = m_progress.find(keyOf(voter));
-        return found != m_progress.end() && now - found->second.lastHeard > m_settings.voterSilence;
+        return found != m_progress.end() && now - found->second.lastContact > m_settings.voterTimeout;
     });
-    if (silent == voters->end())
+    if (unresponsive == voters->end())
         return false;
-    voters->erase(silent);
+    voters->erase(unresponsive);
     return true;
 }
 
--- a/Source/consensus/raft_votes.cpp
+++ b/Source/consensus/raft_votes.cpp
@@ -2,15 +2,15 @@
 
 namespace pistachiolatch {
 
-bool raft_core::heardLeaderLately(time_point now) const
+bool raft_core::hasRecentLeaderContact(time_point now) const
 {
-    return now - m_heardLeaderAt < m_settings.minElectionTimeout;
+    return now - m_lastLeaderContact < m_settings.minElectionTimeout;
 }
 
 void raft_core::resetElectionTimer(time_point now)
 {
-    std::uniform_int_distribution<std::int64_t> spread(m_settings.minElectionTimeout.count(), m_settings.maxElectionTimeout.count());
-    m_electionDue = now + milliseconds(spread(m_random));
+    std::uniform_int_distribution<std::int64_t> timeout(m_settings.minElectionTimeout.count(), m_settings.maxElectionTimeout.count());
+    m_electionDue = now + milliseconds(timeout(m_random));
 }
 
 void raft_core::startPreVote(time_point now)
@@ -27,8 +27,8 @@
         if (keyOf(voter) == keyOf(m_self))
             continue;
         auto message = makeMessage(wire::RAFT_PRE_VOTE, voter);
-        // The term that an election would have; the own term stays as it is, so that a replica back from a
-        // partition does not force the others out of theirs.
+        // The term that an election would have. The replica's own term is unchanged, so that one that returns from a
+        // partition does not force the others into a new term.
         message.set_term(term() + 1);
         message.set_index(m_log.lastIndex());
         message.set_log_term(m_log.lastTerm());
@@ -64,26 +64,27 @@
     return logTerm > m_log.lastTerm() || (logTerm == m_log.lastTerm() && index >= m_log.lastIndex());
 }
 
-void raft_core::onVoteRequest(const wire::raft_message& message, time_point now)
+void raft_core::handleVoteRequest(const wire::raft_message& message, time_point now)
 {
     bool preVote = message.kind() == wire::RAFT_PRE_VOTE;
     auto reply = makeMessage(preVote ? wire::RAFT_PRE_VOTE_REPLY : wire::RAFT_VOTE_REPLY, message.from());
-    // Stickiness: while a leader is heard, or is this replica with a lease, nobody else gets a vote. The lease rests on it.
-    bool leaderAlive = m_role == raft_role::Leader ? leaseValid(now) : heardLeaderLately(now);
+    // Leader stickiness: no vote is granted while there is contact with a leader, or this replica is a leader with a
+    // valid lease. The lease depends on it.
+    bool leaderAlive = m_role == raft_role::Leader ? leaseValid(now) : hasRecentLeaderContact(now);
     bool upToDate = logIsUpToDate(message.index(), message.log_term());
-    // Whether this replica knows of its own vote doesn't matter: the asker counts it only if the newest membership
-    // holds this identity. Refusing would leave a log of two stuck when the first restarts before the second has
-    // the entry that makes it a voter.
+    // This replica may vote without knowing that it is a voter: the candidate counts the vote only if its newest
+    // membership contains this replica. Rejecting would block a log of two voters when the first restarts before the
+    // second has received the entry that makes it a voter.
     if (leaderAlive) {
         reply.set_reject(true);
         send(std::move(reply));
         return;
     }
     if (preVote) {
-        bool refused = message.term() <= term() || !upToDate;
-        reply.set_reject(refused);
-        // A grant names the term that was asked about; a refusal names the own one, so that an asker behind it catches up.
-        if (!refused)
+        bool rejected = message.term() <= term() || !upToDate;
+        reply.set_reject(rejected);
+        // A grant carries the requested term; a rejection carries this replica's term, so that an outdated candidate catches up.
+        if (!rejected)
             reply.set_term(message.term());
         send(std::move(reply));
         return;
@@ -92,8 +93,8 @@
         becomeFollower(message.term(), now);
     reply.set_term(term());
     replica_key votedFor { m_hardState.voted_for_vm(), m_hardState.voted_for_incarnation() };
-    bool free = votedFor.vm.empty() || votedFor == keyOf(message.from());
-    bool granted = message.term() == term() && free && upToDate;
+    bool voteAvailable = votedFor.vm.empty() || votedFor == keyOf(message.from());
+    bool granted = message.term() == term() && voteAvailable && upToDate;
     if (granted) {
         m_hardState.set_voted_for_vm(message.from().vm());
         m_hardState.set_voted_for_incarnation(message.from().incarnation());
@@ -104,7 +105,7 @@
     send(std::move(reply));
 }
 
-void raft_core::onVoteReply(const wire::raft_message& message, time_point now)
+void raft_core::handleVoteReply(const wire::raft_message& message, time_point now)
 {
     bool preVote = message.kind() == wire::RAFT_PRE_VOTE_REPLY;
     if (message.reject()) {
@@ -129,12 +130,12 @@
 {
     m_role = raft_role::Leader;
     m_leader = m_self;
-    m_heardLeaderAt = now;
+    m_lastLeaderContact = now;
     m_rounds.clear();
     m_progress.clear();
     refreshProgress();
-    // Entries of earlier terms count as committed only behind one of this term.
-    appendOwn(wire::ENTRY_NOOP, "");
+    // Entries of earlier terms are committed only by committing an entry of this term after them.
+    appendAsLeader(wire::ENTRY_NOOP, "");
     broadcast(now, true);
 }
 
--- a/Tests/Consensus/FileLogStoreTest.cpp
+++ b/Tests/Consensus/FileLogStoreTest.cpp
@@ -10,7 +10,7 @@
 using namespace pistachiolatch;
 
 namespace {
-/// The files that this process has synced, by path.
+/// Paths of the files that this process has synced.
 std::set<std::string>& syncedFiles()
 {
     static std::set<std::string> files;
@@ -18,7 +18,7 @@
 }
 }
 
-/// Stands before the C library's, so that a test can tell what was synced.
+/// Overrides the C library's function to record which files are synced.
 extern "C" int fdatasync(int descriptor)
 {
     auto link = "/proc/self/fd/" + std::to_string(descriptor);
@@ -37,7 +37,7 @@
     ~scratch_folder() { std::filesystem::remove_all(path); }
 };
 
-raft_ready entries(std::uint64_t first, std::uint64_t last, std::uint64_t term)
+raft_ready makeEntries(std::uint64_t first, std::uint64_t last, std::uint64_t term)
 {
     raft_ready ready;
     for (auto index = first; index <= last; ++index) {
@@ -54,12 +54,12 @@
 {
     file_log_store store;
     REQUIRE(store.open(folder));
-    REQUIRE(store.persist(entries(1, 10, 1)));
+    REQUIRE(store.persist(makeEntries(1, 10, 1)));
 }
 }
 
-// A replica that restarts must know its vote and every entry it acknowledged, and keep its identity.
-TEST_CASE("A data folder gives back what was synced")
+// Guards against a restarted replica that has lost its vote, its incarnation or an entry that it acknowledged.
+TEST_CASE("A reopened data folder returns the synced state")
 {
     scratch_folder folder;
     writeLog(folder.path);
@@ -70,7 +70,7 @@
         REQUIRE(replica);
         CHECK(replica.value().restored.entries.size() == 10);
         incarnation = replica.value().incarnation;
-        auto ready = entries(8, 9, 2);
+        auto ready = makeEntries(8, 9, 2);
         ready.hardState.emplace().set_term(7);
         REQUIRE(store.persist(ready));
     }
@@ -83,9 +83,9 @@
     CHECK(replica.value().restored.entries[7].term() == 2);
 }
 
-// Power goes while a record is written: the file ends inside of it. The record was never acknowledged, so the
-// replica cuts it off and goes on.
-TEST_CASE("A log that ends inside a record is repaired", "[promise]")
+// A power failure during a write leaves an incomplete record at the end of the log. It was never acknowledged, so it is
+// truncated and the replica starts.
+TEST_CASE("An incomplete record at the end of a log is truncated", "[promise]")
 {
     scratch_folder folder;
     writeLog(folder.path);
@@ -96,12 +96,12 @@
     REQUIRE(replica);
     CHECK(replica.value().restored.entries.size() == 9);
     CHECK(replica.value().tornBytes > 0);
-    REQUIRE(store.persist(entries(10, 10, 3)));
+    REQUIRE(store.persist(makeEntries(10, 10, 3)));
 }
 
-// A byte rots in the middle or in the last record. What follows, or the record itself, was acknowledged; dropping
-// it would lose an accepted record without a word. The replica refuses to start and says where the damage is.
-TEST_CASE("A log damaged before its end is refused", "[promise]")
+// A byte is corrupted in the middle of the log or in its last record. Truncating there would silently lose acknowledged
+// entries, so the replica refuses to start and reports the position of the damage.
+TEST_CASE("A damaged log is refused", "[promise]")
 {
     scratch_folder folder;
     auto log = folder.path + "/log";
@@ -120,7 +120,7 @@
     CHECK(replica.error().message.find(log) != std::string::npos);
 }
 
-TEST_CASE("A data folder serves one process at a time")
+TEST_CASE("A data folder can be used by only one process at a time")
 {
     scratch_folder folder;
     file_log_store first;
@@ -131,7 +131,7 @@
     CHECK(refused.error().message.find("another process") != std::string::npos);
 }
 
-TEST_CASE("A snapshot replaces the log before it")
+TEST_CASE("A snapshot replaces the log entries that it covers")
 {
     scratch_folder folder;
     writeLog(folder.path);
@@ -142,8 +142,8 @@
         snapshot.set_index(8);
         snapshot.set_term(1);
         snapshot.set_state("state");
-        REQUIRE(store.compact(snapshot, entries(9, 10, 1).append));
-        REQUIRE(store.persist(entries(11, 11, 1)));
+        REQUIRE(store.compact(snapshot, makeEntries(9, 10, 1).append));
+        REQUIRE(store.persist(makeEntries(11, 11, 1)));
     }
     file_log_store store;
     auto replica = store.open(folder.path);
@@ -153,8 +153,8 @@
     CHECK(replica.value().restored.entries.back().index() == 11);
 }
 
-// Guards against counting an entry that a killed process wrote and never synced: a power cut would take it afterwards.
-TEST_CASE("What a log shows at the start is on the disk before it counts")
+// Guards against acknowledging entries that a killed process wrote but never synced: a power failure could still lose them.
+TEST_CASE("Opening a log syncs the entries that it contains")
 {
     scratch_folder folder;
     writeLog(folder.path);
@@ -164,8 +164,8 @@
     CHECK(syncedFiles().count(folder.path + "/log") == 1);
 }
 
-// Guards against counting what a failed write or sync left in memory alone.
-TEST_CASE("What a folder shows after a failure is written anew before it counts")
+// Guards against acknowledging data that a failed write or sync left only in the page cache.
+TEST_CASE("Opening a folder after a failure rewrites its snapshot and log")
 {
     scratch_folder folder;
     writeLog(folder.path);
@@ -177,9 +177,9 @@
     CHECK(syncedFiles().count(folder.path + "/snapshot.new") == 1);
     CHECK(syncedFiles().count(folder.path + "/log.new") == 1);
     store.close();
-    file_log_store again;
-    auto reread = again.open(folder.path);
-    REQUIRE(reread);
-    CHECK(reread.value().restored.entries.size() == 10);
-    CHECK(reread.value().incarnation == replica.value().incarnation);
+    file_log_store reopenedStore;
+    auto reopened = reopenedStore.open(folder.path);
+    REQUIRE(reopened);
+    CHECK(reopened.value().restored.entries.size() == 10);
+    CHECK(reopened.value().incarnation == replica.value().incarnation);
 }
--- a/Tests/Consensus/raft_simulation.cpp
+++ b/Tests/Consensus/raft_simulation.cpp
@@ -7,7 +7,7 @@
 namespace {
     constexpr std::size_t nodeCount = 5;
     constexpr milliseconds stepLength { 10 };
-    constexpr std::uint64_t snapshotAfter = 20;
+    constexpr std::uint64_t snapshotInterval = 20;
 }
 
 raft_simulation::raft_simulation(std::uint64_t seed)
@@ -21,128 +21,128 @@
         restart(m_nodes[i]);
     }
     m_nodes[0].core->bootstrap();
-    drain(m_nodes[0]);
+    processReady(m_nodes[0]);
 }
 
-void raft_simulation::fail(const std::string& problem)
+void raft_simulation::fail(const std::string& description)
 {
-    if (m_problem.empty())
-        m_problem = problem;
+    if (m_failure.empty())
+        m_failure = description;
 }
 
-void raft_simulation::restart(node& one)
+void raft_simulation::restart(node& replica)
 {
     raft_settings settings;
-    // Small enough for most snapshots to go in several.
+    // Small enough that most snapshots are sent in several pieces.
     settings.snapshotPieceBytes = 512;
-    one.core = std::make_unique<raft_core>(one.id, settings, m_random(), raft_persistent_state { one.stored.hardState, one.stored.snapshot, one.stored.entries }, m_now);
-    one.applied.clear();
-    one.appliedIndex = one.stored.snapshot.index();
-    std::string state = one.stored.snapshot.state();
+    replica.core = std::make_unique<raft_core>(replica.id, settings, m_random(), raft_persistent_state { replica.stored.hardState, replica.stored.snapshot, replica.stored.entries }, m_now);
+    replica.applied.clear();
+    replica.appliedIndex = replica.stored.snapshot.index();
+    std::string state = replica.stored.snapshot.state();
     for (std::size_t begin = 0; begin < state.size();) {
         auto end = state.find('\n', begin);
-        one.applied.push_back(state.substr(begin, end - begin));
+        replica.applied.push_back(state.substr(begin, end - begin));
         begin = end + 1;
     }
 }
 
-void raft_simulation::wipe(node& one)
+void raft_simulation::wipe(node& replica)
 {
-    // A wiped replica comes back under a new incarnation, as a diskless one does at every start.
-    one.stored = {};
-    one.id.set_incarnation(one.id.incarnation() + 1);
+    // A wiped replica returns with a new incarnation, as a diskless replica does at every start.
+    replica.stored = {};
+    replica.id.set_incarnation(replica.id.incarnation() + 1);
     ++m_wipes;
-    restart(one);
+    restart(replica);
 }
 
-void raft_simulation::persist(node& one, const raft_ready& ready)
+void raft_simulation::persist(node& replica, const raft_ready& ready)
 {
     if (ready.hardState)
-        one.stored.hardState = *ready.hardState;
+        replica.stored.hardState = *ready.hardState;
     if (ready.snapshot) {
-        one.stored.snapshot = *ready.snapshot;
-        one.stored.entries.clear();
+        replica.stored.snapshot = *ready.snapshot;
+        replica.stored.entries.clear();
     }
     for (const auto& entry : ready.append) {
-        auto& entries = one.stored.entries;
+        auto& entries = replica.stored.entries;
         while (!entries.empty() && entries.back().index() >= entry.index())
             entries.pop_back();
         entries.push_back(entry);
     }
 }
 
-void raft_simulation::apply(node& one, const wire::log_entry& entry)
+void raft_simulation::apply(node& replica, const wire::log_entry& entry)
 {
-    if (entry.index() != one.appliedIndex + 1)
+    if (entry.index() != replica.appliedIndex + 1)
         fail("an entry was applied out of order");
-    one.appliedIndex = entry.index();
+    replica.appliedIndex = entry.index();
     auto content = std::to_string(entry.term()) + "/" + entry.data();
     auto known = m_committed.emplace(entry.index(), content).first;
     if (known->second != content)
         fail("two replicas applied different entries at index " + std::to_string(entry.index()));
     if (entry.kind() == wire::ENTRY_COMMAND)
-        one.applied.push_back(entry.data());
+        replica.applied.push_back(entry.data());
     auto proposed = m_proposed.find({ entry.index(), entry.term() });
-    if (proposed != m_proposed.end() && one.core->role() == raft_role::Leader)
+    if (proposed != m_proposed.end() && replica.core->role() == raft_role::Leader)
         m_acknowledged.insert(proposed->second);
 }
 
-void raft_simulation::drain(node& one)
+void raft_simulation::processReady(node& replica)
 {
     for (int round = 0; round < 4; ++round) {
-        auto ready = one.core->takeReady();
-        persist(one, ready);
+        auto ready = replica.core->takeReady();
+        persist(replica, ready);
         if (ready.snapshot) {
-            auto core = std::move(one.core);
-            restart(one);
-            one.core = std::move(core);
+            auto core = std::move(replica.core);
+            restart(replica);
+            replica.core = std::move(core);
         }
         for (auto& message : ready.messages)
-            m_wire.push_back({ std::move(message), m_now + stepLength * pick(6) });
+            m_messages.push_back({ std::move(message), m_now + stepLength * randomBelow(6) });
         for (const auto& entry : ready.committed)
-            apply(one, entry);
+            apply(replica, entry);
     }
-    if (one.core->role() == raft_role::Leader) {
-        auto known = m_leaderOfTerm.emplace(one.core->term(), keyOf(one.id)).first;
-        if (known->second != keyOf(one.id))
-            fail("term " + std::to_string(one.core->term()) + " has two leaders");
+    if (replica.core->role() == raft_role::Leader) {
+        auto known = m_leaderOfTerm.emplace(replica.core->term(), keyOf(replica.id)).first;
+        if (known->second != keyOf(replica.id))
+            fail("term " + std::to_string(replica.core->term()) + " has two leaders");
     }
-    if (one.appliedIndex < one.core->log().baseIndex() + snapshotAfter)
+    if (replica.appliedIndex < replica.core->log().baseIndex() + snapshotInterval)
         return;
     std::string state;
-    for (const auto& command : one.applied)
+    for (const auto& command : replica.applied)
         state += command + "\n";
-    one.core->compact(one.appliedIndex, state);
-    one.stored.snapshot = one.core->snapshot();
-    std::erase_if(one.stored.entries, [&](const auto& entry) { return entry.index() <= one.appliedIndex; });
+    replica.core->compact(replica.appliedIndex, state);
+    replica.stored.snapshot = replica.core->snapshot();
+    std::erase_if(replica.stored.entries, [&](const auto& entry) { return entry.index() <= replica.appliedIndex; });
 }
 
 void raft_simulation::deliver()
 {
-    std::vector<in_flight> due;
-    std::erase_if(m_wire, [&](in_flight& one) {
-        if (one.due > m_now)
+    std::vector<in_flight_message> due;
+    std::erase_if(m_messages, [&](in_flight_message& pending) {
+        if (pending.due > m_now)
             return false;
-        due.push_back(std::move(one));
+        due.push_back(std::move(pending));
         return true;
     });
     std::shuffle(due.begin(), due.end(), m_random);
-    for (auto& one : due) {
-        if (m_faults && pick(100) < 5)
+    for (auto& delivery : due) {
+        if (m_injectsFaults && randomBelow(100) < 5)
             continue;
-        if (m_faults && pick(100) < 3)
-            m_wire.push_back({ one.message, m_now + stepLength * pick(50) });
-        auto cut = [&](const wire::replica_id& id) {
+        if (m_injectsFaults && randomBelow(100) < 3)
+            m_messages.push_back({ delivery.message, m_now + stepLength * randomBelow(50) });
+        auto isolated = [&](const wire::replica_id& id) {
             auto found = std::find_if(m_nodes.begin(), m_nodes.end(), [&](const auto& node) { return node.id.vm() == id.vm(); });
-            return found->cut;
+            return found->isolated;
         };
-        if (cut(one.message.from()) || cut(one.message.to()) || m_cutLinks.count({ one.message.from().vm(), one.message.to().vm() }))
+        if (isolated(delivery.message.from()) || isolated(delivery.message.to()) || m_brokenLinks.count({ delivery.message.from().vm(), delivery.message.to().vm() }))
             continue;
         for (auto& node : m_nodes) {
-            if (node.id.vm() != one.message.to().vm())
+            if (node.id.vm() != delivery.message.to().vm())
                 continue;
-            node.core->step(one.message, m_now);
-            drain(node);
+            node.core->step(delivery.message, m_now);
+            processReady(node);
         }
     }
 }
@@ -155,13 +155,13 @@
         auto command = "c" + std::to_string(++m_lastCommand);
         if (auto position = node.core->propose(command))
             m_proposed[{ position->index, position->term }] = command;
-        drain(node);
+        processReady(node);
     }
 }
 
-std::size_t raft_simulation::repairedVoters() const
+std::size_t raft_simulation::countCurrentVoters() const
 {
-    // What an operator goes by: the leader says that a VM's present replica is a voter.
+    // Counts the VMs whose current replica is a voter according to the leader, which is what operators see.
     std::set<replica_key> voters;
     for (const auto& node : m_nodes) {
         if (!node.core->leaseValid(m_now))
@@ -172,47 +172,47 @@
     return static_cast<std::size_t>(std::count_if(m_nodes.begin(), m_nodes.end(), [&](const auto& node) { return voters.count(keyOf(node.id)) > 0; }));
 }
 
-void raft_simulation::randomFault()
+void raft_simulation::injectFault()
 {
-    auto& victim = m_nodes[pick(nodeCount)];
-    switch (pick(6)) {
+    auto& victim = m_nodes[randomBelow(nodeCount)];
+    switch (randomBelow(6)) {
     case 0:
-        // A crash: a replica with a disk keeps what was synced; one without is wiped by it.
+        // A crash. Replicas with a disk keep what they synced; those without one can only be wiped (next case).
         if (!victim.diskless)
             restart(victim);
         break;
     case 1:
-        // What five replicas promise to survive: one is lost at a time, the next right after the repair.
-        if (repairedVoters() == nodeCount)
+        // Five replicas must survive the loss of one at a time, the next one right after the previous one is replaced.
+        if (countCurrentVoters() == nodeCount)
             wipe(victim);
         break;
     case 2:
-        victim.cut = true;
+        victim.isolated = true;
         break;
     case 3:
     case 4: {
-        // A link between two VMs, in one direction or both: a replica that does not hear the leader but reaches the others.
-        const auto& other = m_nodes[pick(nodeCount)];
-        m_cutLinks.insert({ other.id.vm(), victim.id.vm() });
-        if (pick(2) == 0)
-            m_cutLinks.insert({ victim.id.vm(), other.id.vm() });
+        // A link fails in one or both directions, for example a replica loses the leader but still reaches the others.
+        const auto& other = m_nodes[randomBelow(nodeCount)];
+        m_brokenLinks.insert({ other.id.vm(), victim.id.vm() });
+        if (randomBelow(2) == 0)
+            m_brokenLinks.insert({ victim.id.vm(), other.id.vm() });
         break;
     }
     default:
         for (auto& node : m_nodes)
-            node.cut = false;
-        m_cutLinks.clear();
+            node.isolated = false;
+        m_brokenLinks.clear();
         break;
     }
 }
 
 void raft_simulation::checkLeases()
 {
-    // A leader that holds a lease must be the newest: nobody else may have been elected yet.
+    // No newer leader may have been elected while a leader has a valid lease.
     std::uint64_t newest = m_leaderOfTerm.empty() ? 0 : m_leaderOfTerm.rbegin()->first;
     for (const auto& node : m_nodes) {
         if (node.core->leaseValid(m_now) && node.core->term() < newest)
-            fail("a leader of term " + std::to_string(node.core->term()) + " holds a lease while term " + std::to_string(newest) + " has a leader");
+            fail("a leader of term " + std::to_string(node.core->term()) + " has a valid lease while term " + std::to_string(newest) + " has a leader");
     }
 }
 
@@ -221,52 +221,52 @@
     m_now += stepLength;
     for (auto& node : m_nodes) {
         node.core->tick(m_now);
-        if (node.core->shouldRequestJoin() && pick(10) == 0) {
+        if (node.core->shouldRequestJoin() && randomBelow(10) == 0) {
             for (auto& other : m_nodes) {
-                if (!node.cut && !other.cut)
+                if (!node.isolated && !other.isolated)
                     other.core->handleJoinRequest(node.id, m_now);
             }
         }
-        drain(node);
+        processReady(node);
     }
     deliver();
-    if (m_proposing && pick(8) == 0)
+    if (m_proposes && randomBelow(8) == 0)
         propose();
-    if (m_faults && pick(120) == 0)
-        randomFault();
+    if (m_injectsFaults && randomBelow(120) == 0)
+        injectFault();
     checkLeases();
 }
 
 std::string raft_simulation::run(int steps)
 {
-    for (int i = 0; i < steps && m_problem.empty(); ++i)
+    for (int i = 0; i < steps && m_failure.empty(); ++i)
         step();
-    return m_problem;
+    return m_failure;
 }
 
-std::string raft_simulation::heal()
+std::string raft_simulation::recover()
 {
-    m_faults = false;
+    m_injectsFaults = false;
     for (auto& node : m_nodes)
-        node.cut = false;
-    m_cutLinks.clear();
-    constexpr int healSteps = 1500;
-    run(healSteps);
-    // What was proposed last still travels; nothing new comes behind it.
-    m_proposing = false;
-    run(healSteps / 10);
+        node.isolated = false;
+    m_brokenLinks.clear();
+    constexpr int recoverySteps = 1500;
+    run(recoverySteps);
+    // Stop proposing and let the last proposals reach every replica.
+    m_proposes = false;
+    run(recoverySteps / 10);
     for (const auto& node : m_nodes) {
         std::set<std::string> applied(node.applied.begin(), node.applied.end());
         for (const auto& command : m_acknowledged) {
             if (!applied.count(command))
-                fail("the acknowledged command " + command + " is missing at " + node.id.vm());
+                fail("acknowledged command " + command + " is missing on " + node.id.vm());
         }
         if (applied.size() != node.applied.size())
-            fail("a command was applied twice at " + node.id.vm());
+            fail("a command was applied twice on " + node.id.vm());
     }
     if (m_nodes[0].core->members().voters_size() != static_cast<int>(nodeCount))
-        fail("not every VM became a voter again");
-    return m_problem;
+        fail("not every VM has become a voter again");
+    return m_failure;
 }
 
 } // namespace pistachiolatch::test
