--- a/Source/records/canonical_json.cpp
+++ b/Source/records/canonical_json.cpp
@@ -6,12 +6,12 @@
 namespace pistachiolatch {
 
 namespace {
-    boost::json::value sorted(const boost::json::value& value)
+    boost::json::value sortKeys(const boost::json::value& value)
     {
         if (value.is_array()) {
             boost::json::array items;
             for (const auto& item : value.get_array())
-                items.push_back(sorted(item));
+                items.push_back(sortKeys(item));
             return items;
         }
         if (!value.is_object())
@@ -22,7 +22,7 @@
         std::sort(keys.begin(), keys.end());
         boost::json::object ordered;
         for (const auto& key : keys)
-            ordered[key] = sorted(value.get_object().at(key));
+            ordered[key] = sortKeys(value.get_object().at(key));
         return ordered;
     }
 }
@@ -35,7 +35,7 @@
         return failure { fmt::format("not JSON: {}", error.message()) };
     if (!value.is_object())
         return failure { "not a JSON object" };
-    return boost::json::serialize(sorted(value));
+    return boost::json::serialize(sortKeys(value));
 }
 
 } // namespace pistachiolatch
--- a/Source/records/canonical_json.h
+++ b/Source/records/canonical_json.h
@@ -4,8 +4,8 @@
 
 namespace pistachiolatch {
 
-/// The one spelling of a JSON object: keys sorted, no white space. Two bodies mean the same exactly if these are equal.
-/// Errors: not JSON, or no object. Thread safety: any thread.
+/// Returns the canonical form of a JSON object: sorted keys, no white space. Equivalent objects have equal canonical forms.
+/// Errors: not JSON, or not an object. Thread safety: any thread.
 result<std::string> canonicalJson(const std::string& text);
 
 } // namespace pistachiolatch
--- a/Source/records/config_view.cpp
+++ b/Source/records/config_view.cpp
@@ -6,7 +6,7 @@
 
 namespace {
     template <typename T, typename Decoder>
-    result<void> store(std::map<std::string, T>& items, const wire::record& record, Decoder decode)
+    result<void> storeOrErase(std::map<std::string, T>& items, const wire::record& record, Decoder decode)
     {
         if (record.removed()) {
             items.erase(record.name());
@@ -18,44 +18,44 @@
     }
 }
 
-std::shared_ptr<const config_view> config_view::applyChanges(const config_view& before, std::uint64_t revision,
+std::shared_ptr<const config_view> config_view::applyChanges(const config_view& previous, std::uint64_t revision,
     const std::vector<wire::record>& changed, std::vector<std::string>& problems)
 {
-    auto next = std::make_shared<config_view>(before);
+    auto next = std::make_shared<config_view>(previous);
     next->m_revision = revision;
     for (const auto& record : changed) {
-        auto taken = next->take(record);
-        if (!taken)
-            problems.push_back(taken.error().message);
+        auto applied = next->applyRecord(record);
+        if (!applied)
+            problems.push_back(applied.error().message);
     }
-    next->m_byDigest.clear();
+    next->m_keysByDigest.clear();
     for (const auto& [id, key] : next->m_keys)
-        next->m_byDigest.emplace(key.sha256, key_view { id, key });
+        next->m_keysByDigest.emplace(key.sha256, api_key { id, key });
     return next;
 }
 
-result<void> config_view::take(const wire::record& record)
+result<void> config_view::applyRecord(const wire::record& record)
 {
     if (record.kind() == "organisation")
-        return store(m_organisations, record, decodeOrganisation);
+        return storeOrErase(m_organisations, record, decodeOrganisation);
     if (record.kind() == "limit")
-        return store(m_limits, record, decodeLimit);
+        return storeOrErase(m_limits, record, decodeLimit);
     if (record.kind() == "key")
-        return store(m_keys, record, decodeKey);
+        return storeOrErase(m_keys, record, decodeKey);
     if (record.kind() == "model")
-        return store(m_models, record, decodeModel);
+        return storeOrErase(m_models, record, decodeModel);
     if (record.kind() == "service")
-        return store(m_services, record, decodeService);
+        return storeOrErase(m_services, record, decodeService);
     if (record.kind() == "endpoint_role")
-        return store(m_roles, record, decodeEndpointRole);
+        return storeOrErase(m_roles, record, decodeEndpointRole);
     return failure { fmt::format("kind \"{}\" is unknown to this build", record.kind()) };
 }
 
-const key_view* config_view::findKeyByDigest(const std::string& sha256) const
+const api_key* config_view::findKeyByDigest(const std::string& sha256) const
 {
-    auto found = m_byDigest.find(sha256);
-    // The table finds by hash and compares as it likes; the last word is a comparison in constant time.
-    if (found == m_byDigest.end() || !equalConstantTime(found->second.record.sha256, sha256))
+    auto found = m_keysByDigest.find(sha256);
+    // The map's own comparison is not constant-time, so the digest is compared again in constant time.
+    if (found == m_keysByDigest.end() || !equalConstantTime(found->second.record.sha256, sha256))
         return nullptr;
     return &found->second;
 }
--- a/Source/records/control_state.cpp
+++ b/Source/records/control_state.cpp
@@ -7,10 +7,10 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Versions remembered for each record, for resends that come late.
-    constexpr std::size_t mostVersionsKept = 32;
+    /// Versions kept in each record's history, to recognise records that are resent late.
+    constexpr std::size_t maxHistoryVersions = 32;
     constexpr std::int64_t poisonLifetimeMillis = 10LL * 60 * 1000;
-    constexpr std::size_t mostPoisonMarks = 10000;
+    constexpr std::size_t maxPoisonMarks = 10000;
 }
 
 apply_outcome control_state::apply(const wire::command& command)
@@ -21,7 +21,7 @@
         outcome.submit = submit(command.submit());
         break;
     case wire::command::kAssign:
-        assign(command.assign());
+        assignShards(command.assign());
         break;
     case wire::command::kLedgerBegin:
         outcome.ledger = m_ledger.begin(command.ledger_begin());
@@ -33,9 +33,9 @@
         m_ledger.expire(command.expire().before_ms(), command.expire().answers_before_ms());
         break;
     case wire::command::kCrash:
-        outcome.crashes = markCrash(command.crash());
+        outcome.crashes = recordCrash(command.crash());
         break;
-    // A fleet that keeps one document has a state of its own; its commands don't reach this one.
+    // Documents belong to another state machine, so their commands never reach this one.
     case wire::command::kDocument:
     case wire::command::BODY_NOT_SET:
         break;
@@ -46,29 +46,29 @@
 submit_outcome control_state::submit(const wire::submit_batch& batch)
 {
     submit_outcome outcome { submit_status::AlreadyAccepted, 0, "" };
-    std::vector<const wire::record*> fresh;
+    std::vector<const wire::record*> accepted;
     std::set<record_key> seen;
     for (const auto& record : batch.records()) {
         if (!seen.insert({ record.kind(), record.name() }).second)
-            return { submit_status::Invalid, 0, fmt::format("{} \"{}\" stands twice in one batch; leave one out", record.kind(), record.name()) };
-        auto verdict = judge(record);
-        if (verdict.status == submit_status::Conflict || verdict.status == submit_status::Invalid)
-            return verdict;
-        if (verdict.status == submit_status::Accepted)
-            fresh.push_back(&record);
+            return { submit_status::Invalid, 0, fmt::format("{} \"{}\" appears twice in the batch; remove one of them", record.kind(), record.name()) };
+        auto validated = validate(record);
+        if (validated.status == submit_status::Conflict || validated.status == submit_status::Invalid)
+            return validated;
+        if (validated.status == submit_status::Accepted)
+            accepted.push_back(&record);
         else
-            outcome.revision = std::max(outcome.revision, verdict.revision);
+            outcome.revision = std::max(outcome.revision, validated.revision);
     }
-    if (fresh.empty())
+    if (accepted.empty())
         return outcome;
-    // All of the batch gets one revision: it is in force as a whole or not at all.
+    // The whole batch gets one revision, so it takes effect atomically.
     ++m_revision;
-    for (const auto* record : fresh)
-        accept(*record);
+    for (const auto* record : accepted)
+        storeRecord(*record);
     return { submit_status::Accepted, m_revision, "" };
 }
 
-submit_outcome control_state::judge(const wire::record& record) const
+submit_outcome control_state::validate(const wire::record& record) const
 {
     auto valid = validateRecord(record);
     if (!valid)
@@ -79,7 +79,7 @@
         return { submit_status::Accepted, 0, "" };
     if (record.version() > currentVersion)
         return { submit_status::Conflict, 0,
-            fmt::format("{} \"{}\": version {} can't follow version {}; read it back with get and submit version {}", record.kind(), record.name(), record.version(), currentVersion, currentVersion + 1) };
+            fmt::format("{} \"{}\": version {} cannot follow version {}; read it back with get and submit version {}", record.kind(), record.name(), record.version(), currentVersion, currentVersion + 1) };
 
     auto history = m_history.find({ record.kind(), record.name() });
     auto digest = recordDigest(record);
@@ -91,30 +91,30 @@
         return { submit_status::Conflict, 0,
             fmt::format("{} \"{}\": version {} was already submitted by {} with other content; read it back with get", record.kind(), record.name(), record.version(), known.submitter()) };
     }
-    return { submit_status::Conflict, 0, fmt::format("{} \"{}\": version {} is older than what is in force; read it back with get", record.kind(), record.name(), record.version()) };
+    return { submit_status::Conflict, 0, fmt::format("{} \"{}\": version {} is older than the version in force; read it back with get", record.kind(), record.name(), record.version()) };
 }
 
-void control_state::accept(const wire::record& record)
+void control_state::storeRecord(const wire::record& record)
 {
     record_key key { record.kind(), record.name() };
     auto& stored = m_records[key];
-    auto earlier = m_byRevision.find(stored.revision());
-    if (earlier != m_byRevision.end() && earlier->second.erase(key) > 0 && earlier->second.empty())
-        m_byRevision.erase(earlier);
+    auto earlier = m_keysByRevision.find(stored.revision());
+    if (earlier != m_keysByRevision.end() && earlier->second.erase(key) > 0 && earlier->second.empty())
+        m_keysByRevision.erase(earlier);
     stored = record;
     stored.set_revision(m_revision);
-    m_byRevision[m_revision].insert(key);
+    m_keysByRevision[m_revision].insert(key);
     auto& versions = m_history[key];
     wire::version_digest digest;
     digest.set_version(record.version());
     digest.set_digest(recordDigest(record));
     digest.set_submitter(record.submitter());
     versions.push_back(std::move(digest));
-    if (versions.size() > mostVersionsKept)
+    if (versions.size() > maxHistoryVersions)
         versions.erase(versions.begin());
 }
 
-void control_state::assign(const wire::assign_shards& command)
+void control_state::assignShards(const wire::assign_shards& command)
 {
     for (const auto& owner : command.owners()) {
         auto& stored = m_shards[owner.shard()];
@@ -124,20 +124,20 @@
     ++m_shardVersion;
 }
 
-std::uint32_t control_state::markCrash(const wire::crash_report& report)
+std::uint32_t control_state::recordCrash(const wire::crash_report& report)
 {
     std::erase_if(m_poison, [&](const auto& item) { return item.second.until_ms() < report.now_ms(); });
     auto& mark = m_poison[report.fingerprint()];
     mark.set_fingerprint(report.fingerprint());
     auto attempt = fmt::format("{}#{}", report.request_id(), report.attempt());
-    // A report sent again after a lost answer counts once.
+    // A report that is resent after a lost reply counts once.
     if (std::find(mark.attempts().begin(), mark.attempts().end(), attempt) == mark.attempts().end()) {
         mark.add_attempts(attempt);
         ++m_poisonVersion;
     }
     mark.set_until_ms(report.now_ms() + poisonLifetimeMillis);
     auto crashes = static_cast<std::uint32_t>(mark.attempts_size());
-    if (m_poison.size() > mostPoisonMarks)
+    if (m_poison.size() > maxPoisonMarks)
         m_poison.erase(std::min_element(m_poison.begin(), m_poison.end(), [](const auto& a, const auto& b) { return a.second.until_ms() < b.second.until_ms(); }));
     return crashes;
 }
@@ -145,7 +145,7 @@
 std::vector<wire::record> control_state::recordsAfter(std::uint64_t revision) const
 {
     std::vector<wire::record> changed;
-    for (auto it = m_byRevision.upper_bound(revision); it != m_byRevision.end(); ++it) {
+    for (auto it = m_keysByRevision.upper_bound(revision); it != m_keysByRevision.end(); ++it) {
         for (const auto& key : it->second)
             changed.push_back(m_records.at(key));
     }
@@ -196,7 +196,7 @@
 {
     wire::control_image image;
     if (!image.ParseFromString(bytes))
-        return failure { "the snapshot's state can't be decoded" };
+        return failure { "the state in the snapshot cannot be decoded" };
     *this = control_state();
     m_revision = image.revision();
     m_shardVersion = image.shard_version();
@@ -204,7 +204,7 @@
     m_nextEpoch = std::max<std::uint64_t>(image.next_epoch(), 1);
     for (const auto& record : image.records()) {
         m_records[{ record.kind(), record.name() }] = record;
-        m_byRevision[record.revision()].insert({ record.kind(), record.name() });
+        m_keysByRevision[record.revision()].insert({ record.kind(), record.name() });
     }
     for (const auto& history : image.history())
         m_history[{ history.kind(), history.name() }].assign(history.versions().begin(), history.versions().end());
--- a/Source/records/ledger.cpp
+++ b/Source/records/ledger.cpp
@@ -8,8 +8,8 @@
     auto& entry = m_entries[command.key()];
     bool sameRequest = entry.request_id() == command.request_id();
     if (entry.state() == wire::LEDGER_NONE && sameRequest && !entry.request_id().empty()) {
-        // The request gave up and said so before this late copy of its intent was committed. Granting it would
-        // leave the key running for ever with nobody to finish it.
+        // The request was recorded as not sent before its delayed intent was committed. Granting it now would leave the
+        // key running for ever, since nothing would finish it.
         reply.set_unavailable(true);
         return reply;
     }
--- a/Source/records/ledger.h
+++ b/Source/records/ledger.h
@@ -5,17 +5,17 @@
 
 namespace pistachiolatch {
 
-/// The at-most-once ledger: for each idempotency key the intent, written before the call is sent, and the answer.
+/// The at-most-once ledger: stores the intent, recorded before the call is sent, and the answer of each idempotency key.
 /// Part of the replicated state machine; deterministic. Not thread-safe.
 class ledger {
 public:
-    /// Records the intent to run a call. Granted only once for a key; the same request asking again (its answer
-    /// was lost) is granted again, since only it can send the call, and it sends it once.
+    /// Records the intent to run a call. Each key is granted to one request only. That request is granted again if it
+    /// resends its intent after a lost reply, since only it can send the call and sends it once.
     wire::ledger_reply begin(const wire::ledger_begin& command);
-    /// Records the outcome: an answer, "never sent" or "unknown".
+    /// Records the outcome of a call: an answer, not sent, or unknown.
     wire::ledger_reply finish(const wire::ledger_finish& command);
-    /// Forgets calls begun before one time and the stored answers of those begun before another, in milliseconds since
-    /// the epoch. A key outlives its answer: a resend that comes late is still never run a second time.
+    /// Removes calls begun before `beforeMillis` and stored answers of calls begun before `answersBeforeMillis`, in
+    /// milliseconds since the epoch. Keys are kept longer than answers, so that a late resend is not run a second time.
     void expire(std::int64_t beforeMillis, std::int64_t answersBeforeMillis);
 
     void save(wire::control_image& image) const;
--- a/Source/records/records.h
+++ b/Source/records/records.h
@@ -1,6 +1,5 @@
 #pragma once
-/// What operators submit, what is in force, and the state machine that the replicated log drives.
-/// This is the library's one public header.
+/// Public header of the configuration records and of the state machine that applies the replicated log.
 #include "records/canonical_json.h"
 #include "records/config_view.h"
 #include "records/control_state.h"
--- a/Tests/Records/ControlStateTest.cpp
+++ b/Tests/Records/ControlStateTest.cpp
@@ -25,7 +25,7 @@
     return *state.apply(command).submit;
 }
 
-wire::ledger_begin intent(const std::string& key, const std::string& request, const std::string& digest = "d")
+wire::ledger_begin makeIntent(const std::string& key, const std::string& request, const std::string& digest = "d")
 {
     wire::ledger_begin begin;
     begin.set_key(key);
@@ -36,7 +36,7 @@
     return begin;
 }
 
-wire::ledger_finish outcome(const std::string& key, const std::string& request)
+wire::ledger_finish makeOutcome(const std::string& key, const std::string& request)
 {
     wire::ledger_finish finish;
     finish.set_key(key);
@@ -45,29 +45,29 @@
 }
 }
 
-// Two operators edit the same version and both submit the next. One wins; the other hears whose it was and loses
-// nothing silently. A resend after a lost answer is accepted and changes nothing.
-TEST_CASE("Operators who race under one version get one winner", "[promise]")
+// Guards against lost updates when two operators edit the same version and both submit the next one: the second submission
+// is a conflict that names the first submitter. A resend after a lost reply is accepted and changes nothing.
+TEST_CASE("Of concurrent submissions of one version only the first is accepted", "[promise]")
 {
     control_state state;
     CHECK(submit(state, { makeLimit(1, 100) }).status == submit_status::Accepted);
     CHECK(submit(state, { makeLimit(2, 200, "anna") }).status == submit_status::Accepted);
-    auto lost = submit(state, { makeLimit(2, 300, "juris") });
-    CHECK(lost.status == submit_status::Conflict);
-    CHECK(lost.message.find("submitted by anna") != std::string::npos);
+    auto conflict = submit(state, { makeLimit(2, 300, "juris") });
+    CHECK(conflict.status == submit_status::Conflict);
+    CHECK(conflict.message.find("submitted by anna") != std::string::npos);
 
     auto resent = submit(state, { makeLimit(2, 200, "anna") });
     CHECK(resent.status == submit_status::AlreadyAccepted);
     CHECK(resent.revision == 2);
     CHECK(submit(state, { makeLimit(3, 250) }).status == submit_status::Accepted);
-    // A resend so late that its version was followed by another must not bring the old content back.
+    // A resend of a version that has been superseded must not restore the old content.
     CHECK(submit(state, { makeLimit(2, 200, "anna") }).status == submit_status::AlreadyAccepted);
     CHECK(state.find("limit", "alpha")->version() == 3);
     CHECK(submit(state, { makeLimit(9, 250) }).status == submit_status::Conflict);
 }
 
-// One record of a batch is wrong: none of the batch may come into force.
-TEST_CASE("A batch is in force as a whole or not at all", "[promise]")
+// Guards against a partly applied batch when one of its records is invalid.
+TEST_CASE("A batch takes effect atomically", "[promise]")
 {
     control_state state;
     auto good = makeLimit(1, 100);
@@ -81,7 +81,7 @@
     CHECK(submit(state, { good, good }).status == submit_status::Invalid);
 }
 
-TEST_CASE("Old and new schema versions give one canonical type")
+TEST_CASE("Old and new schema versions decode to the same type")
 {
     wire::record record;
     record.set_kind("organisation");
@@ -100,37 +100,37 @@
     CHECK(refused.error().message == "organisation \"alpha\": weight is unknown in schema 1");
 }
 
-// A booking's answer is lost and the caller sends it again through another entry. The ledger grants the key once:
-// the resend gets the stored answer, and a different body under the same key is refused.
+// Guards against running a call twice when its answer is lost and the caller resends it through another entry: the resend
+// gets the stored answer, and a different body under the same key is rejected.
 TEST_CASE("The ledger grants a key once", "[promise]")
 {
     ledger calls;
-    CHECK(calls.begin(intent("k", "r1")).granted());
-    CHECK(calls.begin(intent("k", "r1")).granted());
-    auto second = calls.begin(intent("k", "r2"));
+    CHECK(calls.begin(makeIntent("k", "r1")).granted());
+    CHECK(calls.begin(makeIntent("k", "r1")).granted());
+    auto second = calls.begin(makeIntent("k", "r2"));
     CHECK(!second.granted());
     CHECK(second.state() == wire::LEDGER_RUNNING);
-    CHECK(calls.begin(intent("k", "r3", "other")).reused());
+    CHECK(calls.begin(makeIntent("k", "r3", "other")).reused());
 
-    auto finish = outcome("k", "r1");
+    auto finish = makeOutcome("k", "r1");
     finish.mutable_answer()->set_status(200);
     finish.mutable_answer()->set_body("booked");
     calls.finish(finish);
-    CHECK(calls.begin(intent("k", "r4")).answer().body() == "booked");
+    CHECK(calls.begin(makeIntent("k", "r4")).answer().body() == "booked");
 }
 
-// A resend comes after the stored answer was dropped to save memory. It must still not run a second time.
-TEST_CASE("A key outlives its stored answer", "[promise]")
+// Guards against running a call twice when it is resent after its stored answer was removed to save memory.
+TEST_CASE("A key is kept longer than its stored answer", "[promise]")
 {
     ledger calls;
-    auto begin = intent("k", "r1");
+    auto begin = makeIntent("k", "r1");
     begin.set_now_ms(1000);
     calls.begin(begin);
-    auto finish = outcome("k", "r1");
+    auto finish = makeOutcome("k", "r1");
     finish.mutable_answer()->set_body("booked");
     calls.finish(finish);
     calls.expire(500, 2000);
-    auto late = calls.begin(intent("k", "r2"));
+    auto late = calls.begin(makeIntent("k", "r2"));
     CHECK(!late.granted());
     CHECK(late.state() == wire::LEDGER_DONE);
     CHECK(late.answer().truncated());
@@ -139,29 +139,29 @@
     CHECK(calls.size() == 0);
 }
 
-// An entry gives up on its intent because no leader answered, and tells its caller "not run". The intent is
-// committed late, after it was taken back: granting it then would leave the key running for ever.
-TEST_CASE("An intent that was taken back is not granted late", "[promise]")
+// An entry withdraws its intent because no leader replied, and reports "not run" to its caller. Guards against granting
+// the intent when it is committed later, which would leave the key running for ever.
+TEST_CASE("A withdrawn intent is not granted when it is committed late", "[promise]")
 {
     ledger calls;
-    auto takeBack = outcome("k", "r1");
-    takeBack.set_not_sent(true);
-    calls.finish(takeBack);
-    CHECK(calls.begin(intent("k", "r1")).unavailable());
-    CHECK(calls.begin(intent("k", "r2")).granted());
-    // A stranger's outcome does not touch it.
-    auto stranger = outcome("k", "r1");
-    stranger.set_unknown(true);
-    CHECK(calls.finish(stranger).state() == wire::LEDGER_RUNNING);
+    auto withdrawal = makeOutcome("k", "r1");
+    withdrawal.set_not_sent(true);
+    calls.finish(withdrawal);
+    CHECK(calls.begin(makeIntent("k", "r1")).unavailable());
+    CHECK(calls.begin(makeIntent("k", "r2")).granted());
+    // The outcome of another request is ignored.
+    auto otherOutcome = makeOutcome("k", "r1");
+    otherOutcome.set_unknown(true);
+    CHECK(calls.finish(otherOutcome).state() == wire::LEDGER_RUNNING);
 }
 
-TEST_CASE("A snapshot holds the whole state")
+TEST_CASE("A snapshot contains the complete state")
 {
     control_state state;
     submit(state, { makeLimit(1, 100) });
     submit(state, { makeLimit(2, 200, "juris") });
     wire::command command;
-    *command.mutable_ledger_begin() = intent("k", "r1");
+    *command.mutable_ledger_begin() = makeIntent("k", "r1");
     state.apply(command);
     command.mutable_crash()->set_fingerprint(5);
     command.mutable_crash()->set_request_id("r1");
