--- a/Source/entry/caller_api.cpp
+++ b/Source/entry/caller_api.cpp
@@ -132,7 +132,7 @@
     if (!header.starts_with(bearerPrefix) || header.size() == bearerPrefix.size())
         return caller_error { reason::MissingKey, run_state::NotRun, milliseconds(0), "" };
     caller.config = m_context.node.config();
-    const auto* key = caller.config->keyByDigest(sha256Hex(std::string_view(header).substr(bearerPrefix.size())));
+    const auto* key = caller.config->findKeyByDigest(sha256Hex(std::string_view(header).substr(bearerPrefix.size())));
     if (!key)
         return caller_error { reason::UnknownKey, run_state::NotRun, milliseconds(0), "" };
     if (key->record.withdrawn)
--- a/Source/replication/document_replica.cpp
+++ b/Source/replication/document_replica.cpp
@@ -25,9 +25,9 @@
     // An election takes about half a second, during which no leader plans calls or owns the limits. Network delay and disk
     // syncs take a few milliseconds, so the shortest election timeout covers seven heartbeats.
     raft_settings settings;
-    settings.heartbeat = milliseconds(40);
-    settings.electionLeast = milliseconds(300);
-    settings.electionMost = milliseconds(550);
+    settings.heartbeatInterval = milliseconds(40);
+    settings.minElectionTimeout = milliseconds(300);
+    settings.maxElectionTimeout = milliseconds(550);
     return settings;
 }
 
@@ -60,9 +60,9 @@
     m_storageTimer.cancel();
 }
 
-raft_effects document_replica::effects()
+raft_callbacks document_replica::effects()
 {
-    raft_effects effects;
+    raft_callbacks effects;
     effects.send = [this](const wire::raft_message& message) {
         wire::envelope envelope;
         *envelope.mutable_raft() = message;
@@ -74,7 +74,7 @@
         logEvent("snapshot_installed", { { "index", snapshot.index() }, { "version", m_document.version() } });
         m_events.documentChanged();
     };
-    effects.read = [this](std::uint64_t id, bool done) {
+    effects.completeRead = [this](std::uint64_t id, bool done) {
         auto found = m_reads.find(id);
         if (found == m_reads.end())
             return;
@@ -153,7 +153,7 @@
         const auto& leader = core().leader();
         return leader ? leader->address() : std::string();
     }
-    bool isRecent = m_clock.now() - m_observedLeader.at < raftSettings().electionMost;
+    bool isRecent = m_clock.now() - m_observedLeader.at < raftSettings().maxElectionTimeout;
     return isRecent ? m_observedLeader.address : std::string();
 }
 
@@ -162,7 +162,7 @@
     if (!m_storageUsable)
         return std::nullopt;
     auto now = m_clock.now();
-    auto at = core().confirmedAt(now);
+    auto at = core().leadershipConfirmedAt(now);
     if (!at)
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(now - *at);
@@ -242,7 +242,7 @@
     }
     if (!m_storageUsable)
         return;
-    core().join(replica, m_clock.now());
+    core().handleJoinRequest(replica, m_clock.now());
     processEffects();
 }
 
@@ -315,7 +315,7 @@
         return;
     }
     m_reads[++m_lastRead] = std::move(handler);
-    core().read(m_lastRead);
+    core().requestRead(m_lastRead);
     processEffects();
 }
 
@@ -323,7 +323,7 @@
 {
     if (!m_storageUsable)
         return;
-    auto drained = m_host->drain();
+    auto drained = m_host->processReady();
     if (!drained) {
         onStorageFailure(drained.error().message);
         return;
@@ -335,7 +335,7 @@
 
 void document_replica::scheduleTimer()
 {
-    auto due = std::min(core().nextDue(), core().wantsToJoin() ? m_nextJoinAt : time_point::max());
+    auto due = std::min(core().nextDue(), core().shouldRequestJoin() ? m_nextJoinAt : time_point::max());
     auto now = m_clock.now();
     // A timer that is due earlier reschedules itself then; restarting it for each message would cost more.
     if (m_timerDue != time_point {} && m_timerDue <= due)
@@ -360,7 +360,7 @@
 
 void document_replica::sendJoin()
 {
-    if (!core().wantsToJoin() || m_clock.now() < m_nextJoinAt)
+    if (!core().shouldRequestJoin() || m_clock.now() < m_nextJoinAt)
         return;
     m_nextJoinAt = m_clock.now() + joinInterval;
     for (const auto& address : peers()) {
--- a/Source/replication/document_replica_storage.cpp
+++ b/Source/replication/document_replica_storage.cpp
@@ -37,7 +37,7 @@
     loadSnapshot(start.restored.snapshot);
     m_host.emplace(raft_core(m_self, raftSettings(), freshIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
     if (initialVoters.voters_size() > 0) {
-        core().found(initialVoters);
+        core().bootstrap(initialVoters);
         logEvent("log_founded", { { "voters", initialVoters.voters_size() } });
     }
     return ok();
@@ -64,7 +64,7 @@
 
 void document_replica::scheduleStorageRetry()
 {
-    m_storageTimer.expires_after(reopenPause);
+    m_storageTimer.expires_after(storageReopenDelay);
     m_storageTimer.async_wait([this](boost::system::error_code error) {
         if (!error && !m_stopped)
             openStorage();
--- a/Source/replication/replica_identity.h
+++ b/Source/replication/replica_identity.h
@@ -8,7 +8,7 @@
 /// The state with which a replica starts.
 struct replica_start {
     wire::replica_id self;
-    raft_restored restored;
+    raft_persistent_state restored;
     /// The voters to bootstrap a new log with; empty if this replica joins a log or has one.
     wire::replica_set initialVoters;
     std::uint64_t tornBytes = 0;
