--- a/Source/load/expected_output.cpp
+++ b/Source/load/expected_output.cpp
@@ -12,7 +12,7 @@
     constexpr std::uint64_t words = 10000;
 }
 
-std::uint32_t expectedTokens(const std::string& prompt, std::uint32_t maxTokens)
+std::uint32_t expectedTokenCount(const std::string& prompt, std::uint32_t maxTokens)
 {
     auto hash = XXH3_64bits(prompt.data(), prompt.size());
     return std::min(maxTokens, shortestAnswer + static_cast<std::uint32_t>(hash % answerSpread));
@@ -27,7 +27,7 @@
 std::string expectedText(const std::string& prompt, std::uint32_t maxTokens)
 {
     std::string text;
-    auto count = expectedTokens(prompt, maxTokens);
+    auto count = expectedTokenCount(prompt, maxTokens);
     for (std::uint32_t i = 0; i < count; ++i)
         text += expectedToken(prompt, i);
     return text;
--- a/Source/load/load_runner.cpp
+++ b/Source/load/load_runner.cpp
@@ -177,7 +177,7 @@
         outcome.reason = "cut";
     auto expected = expectedText(request.prompt, stream.maxTokens);
     outcome.wrong = outcome.whole ? answer.text != expected : expected.compare(0, answer.text.size(), answer.text) != 0;
-    outcome.duplicate = outcome.tokens > expectedTokens(request.prompt, stream.maxTokens);
+    outcome.duplicate = outcome.tokens > expectedTokenCount(request.prompt, stream.maxTokens);
 }
 
 task_of<void> load_runner::sendService(planned_request request)
--- a/Tests/StandIn/stand_in_engine.cpp
+++ b/Tests/StandIn/stand_in_engine.cpp
@@ -304,7 +304,7 @@
         co_return;
     }
     auto prompt = found->second.prompt;
-    auto count = expectedTokens(prompt, static_cast<std::uint32_t>(number(body, "max_tokens")));
+    auto count = expectedTokenCount(prompt, static_cast<std::uint32_t>(number(body, "max_tokens")));
     if (!co_await exchange.beginStream(200, "text/event-stream"))
         co_return;
     ++m_running[tag];
