--- a/Source/command/command_settings.h
+++ b/Source/command/command_settings.h
@@ -5,13 +5,13 @@
 
 namespace pistachiolatch {
 
-/// Where the operator's command finds control, and who the operator is.
+/// Settings of the operator's command: the control addresses and the operator's token.
 struct command_settings {
-    std::vector<std::string> controls;
+    std::vector<std::string> controlAddresses;
     std::string token;
 };
 
-/// Reads the command's settings file. Errors: every problem found, one a line.
+/// Reads and validates the settings file. Errors: all problems found, one per line.
 result<command_settings> readCommandSettings(const std::string& path);
 
 } // namespace pistachiolatch
--- a/Source/command/main.cpp
+++ b/Source/command/main.cpp
@@ -20,25 +20,25 @@
     void addCommands(CLI::App& app, command_arguments& arguments)
     {
         app.require_subcommand(1);
-        app.add_option("--settings", arguments.settings, "TOML file with controls and token")->envname("PISTACHIOLATCH_SETTINGS");
+        app.add_option("--settings", arguments.settings, "TOML file with the control addresses and the operator's token")->envname("PISTACHIOLATCH_SETTINGS");
         auto* get = app.add_subcommand("get", "print the records in force as TOML");
-        get->add_option("kind", arguments.kind, "only this kind");
-        get->add_option("name", arguments.name, "only this name");
+        get->add_option("kind", arguments.kind, "print only records of this kind");
+        get->add_option("name", arguments.name, "print only the record with this name");
         app.add_subcommand("diff", "show what apply would change")->add_option("file", arguments.file, "TOML file of records")->required();
-        app.add_subcommand("apply", "submit records and wait until they are in force everywhere")->add_option("file", arguments.file, "TOML file of records")->required();
+        app.add_subcommand("apply", "submit records and wait until they are in force on every process")->add_option("file", arguments.file, "TOML file of records")->required();
         auto* remove = app.add_subcommand("remove", "remove a record");
-        remove->add_option("kind", arguments.kind, "the record's kind")->required();
-        remove->add_option("name", arguments.name, "the record's name")->required();
-        auto* key = app.add_subcommand("key", "issue and withdraw callers' keys");
+        remove->add_option("kind", arguments.kind, "kind of the record")->required();
+        remove->add_option("name", arguments.name, "name of the record")->required();
+        auto* key = app.add_subcommand("key", "issue and withdraw API keys of callers");
         key->require_subcommand(1);
-        key->add_subcommand("issue", "make a key, store its digest, print it once")->add_option("organisation", arguments.organisation, "whose key")->required();
-        key->add_subcommand("withdraw", "withdraw a key everywhere")->add_option("id", arguments.keyId, "the key's id")->required();
+        key->add_subcommand("issue", "generate a key, store its digest and print the key once")->add_option("organisation", arguments.organisation, "organisation that the key is for")->required();
+        key->add_subcommand("withdraw", "withdraw a key on every process")->add_option("id", arguments.keyId, "id of the key")->required();
         app.add_subcommand("status", "show replicas, processes, shards and pools");
-        app.add_subcommand("events", "show what the fleet did");
-        app.add_subcommand("explain", "show what was done for a request")->add_option("request-id", arguments.requestId, "from X-Request-Id")->required();
-        app.add_subcommand("check", "check a settings file of this command")->add_option("file", arguments.file, "settings file")->required();
-        app.add_subcommand("wire-keys", "make a key pair for [wire]");
-        app.add_subcommand("operator-token", "make an operator's token and its digest");
+        app.add_subcommand("events", "show recent events of the fleet");
+        app.add_subcommand("explain", "show how a request was handled")->add_option("request-id", arguments.requestId, "value of the X-Request-Id header")->required();
+        app.add_subcommand("check", "validate a settings file of this command")->add_option("file", arguments.file, "settings file")->required();
+        app.add_subcommand("wire-keys", "generate a key pair for [wire]");
+        app.add_subcommand("operator-token", "generate an operator's token and its digest");
     }
 
     int runCommand(const CLI::App& app, const command_arguments& arguments)
@@ -47,17 +47,17 @@
             return commandWireKeys();
         if (app.got_subcommand("operator-token"))
             return commandOperatorToken();
-        bool check = app.got_subcommand("check");
-        if (!check && arguments.settings.empty()) {
+        bool checkOnly = app.got_subcommand("check");
+        if (!checkOnly && arguments.settings.empty()) {
             fmt::print(stderr, "give --settings FILE or set PISTACHIOLATCH_SETTINGS\n");
             return exitBadInput;
         }
-        auto settings = readCommandSettings(check ? arguments.file : arguments.settings);
+        auto settings = readCommandSettings(checkOnly ? arguments.file : arguments.settings);
         if (!settings) {
             fmt::print(stderr, "{}\n", settings.error().message);
             return exitBadInput;
         }
-        if (check) {
+        if (checkOnly) {
             fmt::print("{}: settings are good\n", arguments.file);
             return exitOk;
         }
@@ -86,7 +86,7 @@
 int main(int argc, char** argv)
 {
     using namespace pistachiolatch;
-    CLI::App app("Operates a pistachiolatch fleet: submits records, reads back what is in force, explains what was done.", "pistachiolatch");
+    CLI::App app("Operates a pistachiolatch fleet: submits records, prints the records in force and explains how requests were handled.", "pistachiolatch");
     app.set_version_flag("--version", std::string("pistachiolatch ") + PISTACHIOLATCH_VERSION);
     command_arguments arguments;
     addCommands(app, arguments);
--- a/Source/command/operator_client.h
+++ b/Source/command/operator_client.h
@@ -4,22 +4,23 @@
 
 namespace pistachiolatch {
 
-/// An answer of control to an operator.
-struct operator_answer {
+/// Control's response to an operator's request.
+struct operator_response {
     unsigned status = 0;
     std::string body;
 };
 
-/// Calls control for an operator; finds the leader by asking each control VM in turn. Used on one thread.
+/// Sends an operator's requests to the control leader, which it finds by trying each control VM in turn.
+/// Not thread-safe.
 class operator_client {
 public:
     explicit operator_client(command_settings settings)
         : m_settings(std::move(settings))
     {
     }
-    /// Makes one call. A submission may be made twice when an answer is lost; control accepts it once.
-    /// Errors: no control VM that leads could be reached in time.
-    result<operator_answer> call(const std::string& method, const std::string& target, const std::string& body) const;
+    /// Sends a request, and repeats it until a leader responds. Control applies a repeated submission once.
+    /// Errors: no leader responded before the timeout.
+    result<operator_response> sendRequest(const std::string& method, const std::string& target, const std::string& body) const;
 
 private:
     command_settings m_settings;
--- a/Source/command/record_commands.cpp
+++ b/Source/command/record_commands.cpp
@@ -13,26 +13,26 @@
 namespace {
     constexpr unsigned statusOk = 200;
 
-    int complain(const std::string& problem, int code)
+    int reportError(const std::string& message, int exitCode)
     {
-        fmt::print(stderr, "{}\n", problem);
-        return code;
+        fmt::print(stderr, "{}\n", message);
+        return exitCode;
     }
 
-    std::string messageOf(const operator_answer& answer)
+    std::string extractErrorMessage(const operator_response& response)
     {
         json::error_code error;
-        auto value = json::parse(answer.body, error);
+        auto value = json::parse(response.body, error);
         const auto* message = !error && value.is_object() ? value.get_object().if_contains("message") : nullptr;
-        return message && message->is_string() ? std::string(message->get_string()) : fmt::format("control answered {}", answer.status);
+        return message && message->is_string() ? std::string(message->get_string()) : fmt::format("control responded with status {}", response.status);
     }
 
     result<std::vector<wire::record>> fetchRecords(const operator_client& client)
     {
-        BOOST_OUTCOME_TRY(auto answer, client.call("GET", "/v1/records", ""));
-        if (answer.status != statusOk)
-            return failure { messageOf(answer) };
-        return recordsFromAnswer(answer.body);
+        BOOST_OUTCOME_TRY(auto response, client.sendRequest("GET", "/v1/records", ""));
+        if (response.status != statusOk)
+            return failure { extractErrorMessage(response) };
+        return parseRecordsResponse(response.body);
     }
 
     const wire::record* findRecord(const std::vector<wire::record>& records, const std::string& kind, const std::string& name)
@@ -41,35 +41,35 @@
         return found == records.end() ? nullptr : &*found;
     }
 
-    /// What an apply would do to one record.
+    /// A change that apply would submit for one record, with the text that describes it to the operator.
     struct planned_change {
         wire::record record;
-        std::string line;
+        std::string description;
     };
 
-    /// The file's version is the one the edit is based on; the submission gets the next. Two operators who edited
-    /// the same version thus submit the same next one, and the second hears of the conflict.
-    std::vector<planned_change> planChanges(const std::vector<wire::record>& wanted, const std::vector<wire::record>& current)
+    /// The version in the file is the one that was edited; the change is submitted as the next version. Two operators
+    /// who edit the same version submit the same next version, so control reports a conflict to the second one.
+    std::vector<planned_change> planChanges(const std::vector<wire::record>& desired, const std::vector<wire::record>& current)
     {
         std::vector<planned_change> changes;
-        for (auto record : wanted) {
-            const auto* known = findRecord(current, record.kind(), record.name());
-            bool same = known && !record.removed() && known->body() == record.body() && known->schema_version() == record.schema_version();
-            if (same || (!known && record.removed()))
+        for (auto record : desired) {
+            const auto* existing = findRecord(current, record.kind(), record.name());
+            bool same = existing && !record.removed() && existing->body() == record.body() && existing->schema_version() == record.schema_version();
+            if (same || (!existing && record.removed()))
                 continue;
             auto base = record.version();
             record.set_version(base + 1);
-            auto verb = record.removed() ? "remove" : known ? "change"
-                                                            : "create";
-            auto line = fmt::format("{} {} \"{}\" version {}", verb, record.kind(), record.name(), record.version());
-            if (known && !record.removed())
-                line += fmt::format("\n  - {}\n  + {}", known->body(), record.body());
-            changes.push_back({ std::move(record), std::move(line) });
+            auto verb = record.removed() ? "remove" : existing ? "change"
+                                                               : "create";
+            auto description = fmt::format("{} {} \"{}\" version {}", verb, record.kind(), record.name(), record.version());
+            if (existing && !record.removed())
+                description += fmt::format("\n  - {}\n  + {}", existing->body(), record.body());
+            changes.push_back({ std::move(record), std::move(description) });
         }
         return changes;
     }
 
-    std::string batchJson(const std::vector<wire::record>& records)
+    std::string serializeBatch(const std::vector<wire::record>& records)
     {
         json::array items;
         for (const auto& record : records) {
@@ -87,14 +87,14 @@
         return json::serialize(body);
     }
 
-    int submit(const operator_client& client, const std::vector<wire::record>& records)
+    int submitRecords(const operator_client& client, const std::vector<wire::record>& records)
     {
-        auto answer = client.call("POST", "/v1/records", batchJson(records));
-        if (!answer)
-            return complain(answer.error().message, exitFailed);
-        if (answer.value().status != statusOk)
-            return complain(messageOf(answer.value()), exitFailed);
-        auto value = json::parse(answer.value().body);
+        auto response = client.sendRequest("POST", "/v1/records", serializeBatch(records));
+        if (!response)
+            return reportError(response.error().message, exitFailed);
+        if (response.value().status != statusOk)
+            return reportError(extractErrorMessage(response.value()), exitFailed);
+        auto value = json::parse(response.value().body);
         bool inForce = value.at("in_force").as_bool();
         fmt::print("{} as revision {}, {}\n", value.at("status").as_string().c_str(), value.at("revision").to_number<std::uint64_t>(),
             inForce ? "in force everywhere" : "accepted but not yet confirmed in force; look again with status");
@@ -106,29 +106,29 @@
 {
     auto records = fetchRecords(client);
     if (!records)
-        return complain(records.error().message, exitFailed);
-    std::vector<wire::record> chosen;
+        return reportError(records.error().message, exitFailed);
+    std::vector<wire::record> selected;
     for (const auto& record : records.value()) {
         if ((kind.empty() || record.kind() == kind) && (name.empty() || record.name() == name))
-            chosen.push_back(record);
+            selected.push_back(record);
     }
-    if (chosen.empty() && !kind.empty())
-        return complain(fmt::format("no {} {} is in force", kind, name), exitFailed);
-    fmt::print("{}", writeRecordFile(std::move(chosen)));
+    if (selected.empty() && !kind.empty())
+        return reportError(fmt::format("no {} {} is in force", kind, name), exitFailed);
+    fmt::print("{}", formatRecords(std::move(selected)));
     return exitOk;
 }
 
 int commandDiff(const operator_client& client, const std::string& path)
 {
-    auto wanted = readRecordFile(path);
-    if (!wanted)
-        return complain(wanted.error().message, exitBadInput);
+    auto desired = readRecordFile(path);
+    if (!desired)
+        return reportError(desired.error().message, exitBadInput);
     auto current = fetchRecords(client);
     if (!current)
-        return complain(current.error().message, exitFailed);
-    auto changes = planChanges(wanted.value(), current.value());
+        return reportError(current.error().message, exitFailed);
+    auto changes = planChanges(desired.value(), current.value());
     for (const auto& change : changes)
-        fmt::print("{}\n", change.line);
+        fmt::print("{}\n", change.description);
     if (changes.empty())
         fmt::print("nothing to change\n");
     return exitOk;
@@ -136,45 +136,45 @@
 
 int commandApply(const operator_client& client, const std::string& path)
 {
-    auto wanted = readRecordFile(path);
-    if (!wanted)
-        return complain(wanted.error().message, exitBadInput);
+    auto desired = readRecordFile(path);
+    if (!desired)
+        return reportError(desired.error().message, exitBadInput);
     auto current = fetchRecords(client);
     if (!current)
-        return complain(current.error().message, exitFailed);
+        return reportError(current.error().message, exitFailed);
     std::vector<wire::record> records;
-    for (auto& change : planChanges(wanted.value(), current.value())) {
-        fmt::print("{}\n", change.line);
+    for (auto& change : planChanges(desired.value(), current.value())) {
+        fmt::print("{}\n", change.description);
         records.push_back(std::move(change.record));
     }
     if (records.empty()) {
         fmt::print("nothing to change\n");
         return exitOk;
     }
-    return submit(client, records);
+    return submitRecords(client, records);
 }
 
 int commandRemove(const operator_client& client, const std::string& kind, const std::string& name)
 {
     auto current = fetchRecords(client);
     if (!current)
-        return complain(current.error().message, exitFailed);
-    const auto* known = findRecord(current.value(), kind, name);
-    if (!known)
-        return complain(fmt::format("no {} \"{}\" is in force; list all with get", kind, name), exitFailed);
-    auto record = *known;
-    record.set_version(known->version() + 1);
+        return reportError(current.error().message, exitFailed);
+    const auto* existing = findRecord(current.value(), kind, name);
+    if (!existing)
+        return reportError(fmt::format("no {} \"{}\" is in force; list all with get", kind, name), exitFailed);
+    auto record = *existing;
+    record.set_version(existing->version() + 1);
     record.set_removed(true);
-    return submit(client, { record });
+    return submitRecords(client, { record });
 }
 
 int commandKeyIssue(const operator_client& client, const std::string& organisation)
 {
     auto current = fetchRecords(client);
     if (!current)
-        return complain(current.error().message, exitFailed);
+        return reportError(current.error().message, exitFailed);
     if (!findRecord(current.value(), "organisation", organisation))
-        return complain(fmt::format("no organisation \"{}\" is in force; apply its record first", organisation), exitFailed);
+        return reportError(fmt::format("no organisation \"{}\" is in force; apply its record first", organisation), exitFailed);
     constexpr std::size_t secretBytes = 32;
     constexpr std::size_t idBytes = 4;
     auto secret = "pl-" + randomHex(secretBytes);
@@ -188,26 +188,26 @@
     record.set_version(1);
     record.set_schema_version(1);
     record.set_body(json::serialize(body));
-    int code = submit(client, { record });
-    if (code == exitOk)
+    int exitCode = submitRecords(client, { record });
+    if (exitCode == exitOk)
         fmt::print("id={}\nkey={}\nThis key is shown once; only its digest is stored.\n", record.name(), secret);
-    return code;
+    return exitCode;
 }
 
 int commandKeyWithdraw(const operator_client& client, const std::string& keyId)
 {
     auto current = fetchRecords(client);
     if (!current)
-        return complain(current.error().message, exitFailed);
-    const auto* known = findRecord(current.value(), "key", keyId);
-    if (!known)
-        return complain(fmt::format("no key \"{}\" is in force; list keys with get key", keyId), exitFailed);
-    auto record = *known;
-    auto body = json::parse(known->body()).as_object();
+        return reportError(current.error().message, exitFailed);
+    const auto* existing = findRecord(current.value(), "key", keyId);
+    if (!existing)
+        return reportError(fmt::format("no key \"{}\" is in force; list keys with get key", keyId), exitFailed);
+    auto record = *existing;
+    auto body = json::parse(existing->body()).as_object();
     body["withdrawn"] = true;
-    record.set_version(known->version() + 1);
+    record.set_version(existing->version() + 1);
     record.set_body(json::serialize(body));
-    return submit(client, { record });
+    return submitRecords(client, { record });
 }
 
 } // namespace pistachiolatch
--- a/Source/command/record_commands.h
+++ b/Source/command/record_commands.h
@@ -4,8 +4,8 @@
 
 namespace pistachiolatch {
 
-/// Commands on records. Each prints its result to standard output, problems to standard error, and returns the
-/// exit code.
+/// Commands that read or change records. Each prints its result to standard output and errors to standard error,
+/// and returns the exit code.
 int commandGet(const operator_client& client, const std::string& kind, const std::string& name);
 int commandDiff(const operator_client& client, const std::string& path);
 int commandApply(const operator_client& client, const std::string& path);
--- a/Source/command/record_file.cpp
+++ b/Source/command/record_file.cpp
@@ -34,7 +34,7 @@
         return object;
     }
 
-    result<wire::record> toRecord(const std::string& path, const std::string& kind, const toml::table& table)
+    result<wire::record> parseRecord(const std::string& path, const std::string& kind, const toml::table& table)
     {
         auto line = table.source().begin.line;
         auto name = table["name"].value_exact<std::string>();
@@ -42,9 +42,9 @@
         auto schema = table["schema_version"].value_exact<std::int64_t>();
         auto removed = table["removed"].value_exact<bool>();
         if (!name)
-            return failure { fmt::format("{}:{}: [[{}]]: name is missing or no string; add it", path, line, kind) };
+            return failure { fmt::format("{}:{}: [[{}]]: name is missing or not a string; set it", path, line, kind) };
         if (table.contains("version") && (!version || *version < 0))
-            return failure { fmt::format("{}:{}: [[{}]] \"{}\": version must be an integer; leave it as get wrote it", path, line, kind, *name) };
+            return failure { fmt::format("{}:{}: [[{}]] \"{}\": version must be an integer from 0; keep the value that get printed", path, line, kind, *name) };
         if (table.contains("schema_version") && (!schema || *schema < 1 || *schema > UINT32_MAX))
             return failure { fmt::format("{}:{}: [[{}]] \"{}\": schema_version must be an integer from 1", path, line, kind, *name) };
         if (table.contains("removed") && !removed)
@@ -64,31 +64,31 @@
         BOOST_OUTCOME_TRY(auto canonical, canonicalJson(json::serialize(body)));
         record.set_body(canonical);
         auto shape = validateRecordShape([&] {
-            auto probe = record;
-            probe.set_version(std::max<std::uint64_t>(probe.version(), 1));
-            return probe;
+            auto candidate = record;
+            candidate.set_version(std::max<std::uint64_t>(candidate.version(), 1));
+            return candidate;
         }());
         if (!shape)
             return failure { fmt::format("{}:{}: {}", path, line, shape.error().message) };
-        // A schema that this build does not know is passed on as it is; control decides whether all can read it.
+        // The fields of a schema newer than this build aren't validated here; control decides whether every process supports it.
         if (!record.removed() && record.schema_version() <= newestSchemaVersion) {
-            auto probe = record;
-            probe.set_version(std::max<std::uint64_t>(probe.version(), 1));
-            auto valid = validateRecord(probe);
+            auto candidate = record;
+            candidate.set_version(std::max<std::uint64_t>(candidate.version(), 1));
+            auto valid = validateRecord(candidate);
             if (!valid)
                 return failure { fmt::format("{}:{}: {}", path, line, valid.error().message) };
         }
         return record;
     }
 
-    void appendValue(std::string& text, const json::value& value)
+    void appendTomlValue(std::string& text, const json::value& value)
     {
         if (value.is_array()) {
             text += "[";
             bool first = true;
             for (const auto& item : value.get_array()) {
                 text += first ? "" : ", ";
-                appendValue(text, item);
+                appendTomlValue(text, item);
                 first = false;
             }
             text += "]";
@@ -98,12 +98,12 @@
             for (const auto& member : value.get_object()) {
                 text += first ? "" : ", ";
                 text += json::serialize(json::value(member.key())) + " = ";
-                appendValue(text, member.value());
+                appendTomlValue(text, member.value());
                 first = false;
             }
             text += " }";
         } else {
-            // JSON's spelling of strings, numbers and booleans is TOML's too.
+            // Strings, numbers and booleans are written alike in JSON and TOML.
             text += json::serialize(value);
         }
     }
@@ -118,14 +118,14 @@
         if (!list || !list->is_array_of_tables())
             return failure { fmt::format("{}:{}: {}: write records as [[{}]]", path, node.source().begin.line, kind.str(), kind.str()) };
         for (const auto& item : *list) {
-            BOOST_OUTCOME_TRY(auto record, toRecord(path, std::string(kind.str()), *item.as_table()));
+            BOOST_OUTCOME_TRY(auto record, parseRecord(path, std::string(kind.str()), *item.as_table()));
             records.push_back(std::move(record));
         }
     }
     return records;
 }
 
-std::string writeRecordFile(std::vector<wire::record> records)
+std::string formatRecords(std::vector<wire::record> records)
 {
     const auto& kinds = recordKinds();
     auto rank = [&](const wire::record& record) { return std::find(kinds.begin(), kinds.end(), record.kind()) - kinds.begin(); };
@@ -140,7 +140,7 @@
         if (!error && body.is_object()) {
             for (const auto& member : body.get_object()) {
                 text += fmt::format("{} = ", std::string(member.key()));
-                appendValue(text, member.value());
+                appendTomlValue(text, member.value());
                 text += "\n";
             }
         }
@@ -149,12 +149,12 @@
     return text;
 }
 
-result<std::vector<wire::record>> recordsFromAnswer(const std::string& body)
+result<std::vector<wire::record>> parseRecordsResponse(const std::string& body)
 {
     json::error_code error;
     auto value = json::parse(body, error);
     if (error || !value.is_object() || !value.get_object().contains("records"))
-        return failure { "control's answer is not the expected JSON; are command and control of one version?" };
+        return failure { "control's response is not the expected JSON; check that this command and control have the same version" };
     std::vector<wire::record> records;
     for (const auto& item : value.at("records").as_array()) {
         wire::record record;
--- a/Source/command/record_file.h
+++ b/Source/command/record_file.h
@@ -6,12 +6,12 @@
 
 namespace pistachiolatch {
 
-/// Reads records from a TOML file as `get` writes it: [[kind]] tables with name, version, schema_version and the
-/// body's fields. Errors: file, line, field and what to do.
+/// Reads records from a TOML file in the format that `get` prints: [[kind]] tables with name, version, schema_version
+/// and the fields of the body. Errors name the file, line and field and how to correct them.
 result<std::vector<wire::record>> readRecordFile(const std::string& path);
-/// Writes records as such a file's text, in a fixed order.
-std::string writeRecordFile(std::vector<wire::record> records);
-/// Reads the records of an answer of control. Errors: not the expected JSON.
-result<std::vector<wire::record>> recordsFromAnswer(const std::string& body);
+/// Formats records as the text of such a file, sorted by kind and name.
+std::string formatRecords(std::vector<wire::record> records);
+/// Parses the records in a response of control. Errors: not the expected JSON.
+result<std::vector<wire::record>> parseRecordsResponse(const std::string& body);
 
 } // namespace pistachiolatch
--- a/Source/command/report_commands.cpp
+++ b/Source/command/report_commands.cpp
@@ -13,28 +13,28 @@
 namespace {
     constexpr unsigned statusOk = 200;
 
-    /// Makes a call that reads; prints the problem and returns null when it fails.
-    json::value readJson(const operator_client& client, const std::string& target)
+    /// Sends a GET request and parses the response. Prints the error and returns null on failure.
+    json::value fetchJson(const operator_client& client, const std::string& target)
     {
-        auto answer = client.call("GET", target, "");
-        if (!answer) {
-            fmt::print(stderr, "{}\n", answer.error().message);
+        auto response = client.sendRequest("GET", target, "");
+        if (!response) {
+            fmt::print(stderr, "{}\n", response.error().message);
             return nullptr;
         }
         json::error_code error;
-        auto value = json::parse(answer.value().body, error);
-        if (!error && answer.value().status == statusOk)
+        auto value = json::parse(response.value().body, error);
+        if (!error && response.value().status == statusOk)
             return value;
-        bool explained = !error && value.is_object() && value.get_object().contains("message");
-        fmt::print(stderr, "{}\n", explained ? value.at("message").as_string().c_str() : "control's answer is not the expected JSON");
+        bool hasMessage = !error && value.is_object() && value.get_object().contains("message");
+        fmt::print(stderr, "{}\n", hasMessage ? value.at("message").as_string().c_str() : "control's response is not the expected JSON");
         return nullptr;
     }
 }
 
 int commandStatus(const operator_client& client)
 {
-    auto status = readJson(client, "/v1/status");
-    auto pools = readJson(client, "/v1/pools");
+    auto status = fetchJson(client, "/v1/status");
+    auto pools = fetchJson(client, "/v1/pools");
     if (status.is_null() || pools.is_null())
         return exitFailed;
     fmt::print("leader={} term={} revision={} in_force={} ledger_entries={}\n", status.at("leader").as_string().c_str(), status.at("term").to_number<std::uint64_t>(),
@@ -53,7 +53,7 @@
 
 int commandEvents(const operator_client& client)
 {
-    auto events = readJson(client, "/v1/events");
+    auto events = fetchJson(client, "/v1/events");
     if (events.is_null())
         return exitFailed;
     for (const auto& event : events.at("events").as_array()) {
@@ -66,13 +66,13 @@
 int commandExplain(const operator_client& client, const std::string& requestId)
 {
     if (requestId.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") != std::string::npos) {
-        fmt::print(stderr, "\"{}\" is no request id; take it from X-Request-Id or from an error's request_id\n", requestId);
+        fmt::print(stderr, "\"{}\" is not a request id; copy it from X-Request-Id or from an error's request_id\n", requestId);
         return exitBadInput;
     }
-    auto story = readJson(client, "/v1/explain/" + requestId);
-    if (story.is_null())
+    auto explanation = fetchJson(client, "/v1/explain/" + requestId);
+    if (explanation.is_null())
         return exitFailed;
-    for (const auto& line : story.at("lines").as_array())
+    for (const auto& line : explanation.at("lines").as_array())
         fmt::print("{}\n", line.as_string().c_str());
     return exitOk;
 }
@@ -86,7 +86,7 @@
         fmt::print(stderr, "this ZeroMQ library was built without CURVE\n");
         return exitFailed;
     }
-    // Literal strings: Z85 uses characters that a basic TOML string would read as escapes.
+    // TOML literal strings, because Z85 keys contain characters that a basic string treats as escapes.
     fmt::print("public_key = '{}'\nsecret_key = '{}'\n", publicKey.data(), secretKey.data());
     return exitOk;
 }
--- a/Source/command/report_commands.h
+++ b/Source/command/report_commands.h
@@ -4,11 +4,11 @@
 
 namespace pistachiolatch {
 
-/// Commands that report what the fleet is and did. Each returns the exit code.
+/// Commands that print the fleet's state, its events and the history of a request. Each returns the exit code.
 int commandStatus(const operator_client& client);
 int commandEvents(const operator_client& client);
 int commandExplain(const operator_client& client, const std::string& requestId);
-/// Makes what settings files need: a CURVE key pair for the wire, or an operator's token with its digest.
+/// Generate values for settings files: a CURVE key pair for [wire], or an operator's token with its digest.
 int commandWireKeys();
 int commandOperatorToken();
 
--- a/Tests/Command/CommandSessionTest.cpp
+++ b/Tests/Command/CommandSessionTest.cpp
@@ -8,28 +8,28 @@
 namespace {
 const std::string build = PISTACHIOLATCH_BUILD_FOLDER;
 
-std::string transcript(const std::string& shown, const command_output& output)
+std::string formatRun(const std::string& commandLine, const command_output& output)
 {
-    return "$ " + shown + "\n" + output.out + output.err + "exit " + std::to_string(output.code) + "\n\n";
+    return "$ " + commandLine + "\n" + output.out + output.err + "exit " + std::to_string(output.code) + "\n\n";
 }
 }
 
-// A whole session of an operator who remembers nothing from the last visit: look, export, edit, apply, read back.
-TEST_CASE("An operator's session reads as expected")
+// Guards the command's output and exit codes: exports, edits, applies and reads back records, and submits invalid ones.
+TEST_CASE("An operator's session prints the expected transcript")
 {
     fleet where({});
     where.start();
-    std::string session;
+    std::string transcript;
     auto run = [&](std::vector<std::string> arguments) {
-        std::string shown = "pistachiolatch";
+        std::string commandLine = "pistachiolatch";
         for (const auto& argument : arguments)
-            shown += " " + argument;
+            commandLine += " " + argument;
         auto output = where.command(arguments);
-        session += transcript(shown, output);
+        transcript += formatRun(commandLine, output);
         return output;
     };
-    auto all = run({ "get", "limit" }).out;
-    auto edited = where.file("edited.toml", normalise(all, { { "rate = 1000000", "rate = 250000" } }));
+    auto exported = run({ "get", "limit" }).out;
+    auto edited = where.file("edited.toml", normalise(exported, { { "rate = 1000000", "rate = 250000" } }));
     run({ "diff", edited });
     run({ "apply", edited });
     run({ "apply", edited });
@@ -52,20 +52,20 @@
     run({ "get", "limit", "beta" });
     run({ "explain", "no/such" });
     run({ "explain", "vm9.00" });
-    session = normalise(session, { { where.folder(), "FOLDER" }, { "alpha-[0-9a-f]{8}", "alpha-ID" }, { "pl-[0-9a-f]{64}", "pl-SECRET" } });
-    CHECK(compareWithExpected("Command/expected/operator_session.txt", session) == "");
+    transcript = normalise(transcript, { { where.folder(), "FOLDER" }, { "alpha-[0-9a-f]{8}", "alpha-ID" }, { "pl-[0-9a-f]{64}", "pl-SECRET" } });
+    CHECK(compareWithExpected("Command/expected/operator_session.txt", transcript) == "");
 }
 
-// Every program refuses bad settings before it starts anything: one line for each problem, exit code 2.
-TEST_CASE("Bad input to programs is refused with file, line and key")
+// Every program rejects invalid settings before it starts: one line per problem, exit code 2.
+TEST_CASE("Programs reject invalid input and name the file, line and key")
 {
     fleet where({});
-    std::string session;
+    std::string transcript;
     auto run = [&](const std::string& program, std::vector<std::string> arguments) {
-        std::string shown = program;
+        std::string commandLine = program;
         for (const auto& argument : arguments)
-            shown += " " + argument;
-        session += transcript(shown, runToEnd(build + "/" + program, arguments, where.folder() + "/bad"));
+            commandLine += " " + argument;
+        transcript += formatRun(commandLine, runToEnd(build + "/" + program, arguments, where.folder() + "/bad"));
     };
     auto bad = where.file("bad.toml", "[vm]\nname = \"vm1\"\ndata_centre = 7\n[wire]\nlisten = \"localhost:1\"\npublic_key = \"short\"\nsecret_key = \"short\"\ncontrols = []\n[admin]\nlisten = \"127.0.0.1:99999\"\nverbose = true\n");
     for (const char* program : { "pistachiolatch-entry", "pistachiolatch-scheduler", "pistachiolatch-control" })
@@ -78,10 +78,10 @@
     run("pistachiolatch", { "fly" });
     run("pistachiolatch-load", { "--traffic", where.file("traffic.toml", "seed = 1\n[[stream]]\nname = \"a\"\norganisation = \"alpha\"\ntarget = \"m\"\nper_second = -3\nprompt_tokens = [1, 2]\n"), "--check" });
     run("pistachiolatch-load", { "--traffic", where.file("traffic2.toml", "speed = 1\n"), "--check" });
-    CHECK(compareWithExpected("Command/expected/bad_input.txt", normalise(session, { { where.folder(), "FOLDER" } })) == "");
+    CHECK(compareWithExpected("Command/expected/bad_input.txt", normalise(transcript, { { where.folder(), "FOLDER" } })) == "");
 }
 
-TEST_CASE("The example settings and traffic are good")
+TEST_CASE("The example settings and traffic files are valid")
 {
     fleet where({});
     auto utilities = std::string(PISTACHIOLATCH_TESTS_FOLDER) + "/../Utilities/";
@@ -95,8 +95,8 @@
         CHECK(runToEnd(build + "/pistachiolatch-load", { "--traffic", utilities + "traffic/" + traffic + ".toml", "--check" }, where.folder() + "/example").code == 0);
 }
 
-// A second process on the same address must say so and leave with code 2, not run half.
-TEST_CASE("An address in use ends the start with a clear error")
+// A second process on an address in use must exit with code 2 and name the address, not keep running without its port.
+TEST_CASE("A process exits with an error that names an address in use")
 {
     fleet where({});
     where.start();
