--- a/Source/load/expected_output.h
+++ b/Source/load/expected_output.h
@@ -4,13 +4,14 @@
 
 namespace pistachiolatch {
 
-/// The stand-in engines' output is a pure function of the prompt, so that any answer can be checked for being whole
-/// and its caller's own.
-/// How many tokens a prompt gets, at most maxTokens.
+// The output of the fake engines in the tests is a pure function of the prompt, so a client can verify that a response
+// is complete and belongs to its request.
+
+/// Number of tokens generated for a prompt, at most maxTokens.
 std::uint32_t expectedTokenCount(const std::string& prompt, std::uint32_t maxTokens);
-/// The token at an index.
+/// Text of the token at an index, counted from 0.
 std::string expectedToken(const std::string& prompt, std::uint32_t index);
-/// The whole text.
+/// Text of the complete output.
 std::string expectedText(const std::string& prompt, std::uint32_t maxTokens);
 
 } // namespace pistachiolatch
--- a/Source/load/load_report.h
+++ b/Source/load/load_report.h
@@ -6,70 +6,72 @@
 
 namespace pistachiolatch {
 
-/// What one request came to.
+/// The result of one request. Times are counted from the start of the run.
 struct request_outcome {
     std::size_t stream = 0;
-    std::chrono::microseconds intended { 0 };
+    std::chrono::microseconds scheduledAt { 0 };
     unsigned status = 0;
-    /// The reason of a refusal, or why the answer does not count.
+    /// The error code of a refusal, or why the response is incomplete.
     std::string reason;
-    bool left = false;
-    bool whole = false;
-    /// The answer was whole and not the one that this prompt has.
-    bool wrong = false;
+    /// The caller disconnected before the end of the response, as planned.
+    bool abandoned = false;
+    bool complete = false;
+    /// The response, or the part of it that arrived, differs from the expected output.
+    bool incorrect = false;
+    /// The response has more tokens than expected, or the service ran the call more than once.
     bool duplicate = false;
     std::uint32_t tokens = 0;
     std::uint32_t promptTokens = 0;
-    std::chrono::microseconds firstToken { 0 };
-    std::chrono::microseconds finished { 0 };
+    std::chrono::microseconds firstTokenAt { 0 };
+    std::chrono::microseconds finishedAt { 0 };
 };
 
-/// The brief's four measures for one organisation or for all.
-struct load_measures {
+/// Counts and latencies of the requests of one organisation or of all.
+struct load_metrics {
     std::uint64_t sent = 0;
-    std::uint64_t answered = 0;
-    /// Answered whole within both latency targets.
+    std::uint64_t completed = 0;
+    /// Complete responses; those of models only when within both latency targets.
     std::uint64_t good = 0;
     std::uint64_t goodTokens = 0;
     std::uint64_t refused = 0;
     std::uint64_t wronglyRefused = 0;
     std::uint64_t failed = 0;
-    std::uint64_t left = 0;
-    std::uint64_t wrong = 0;
+    std::uint64_t abandoned = 0;
+    std::uint64_t incorrect = 0;
     std::uint64_t duplicates = 0;
     std::vector<double> firstTokenMillis;
     std::vector<double> perTokenMillis;
     std::vector<double> serviceMillis;
 };
 
-/// All results of one run.
+/// The results of one run.
 struct load_report {
     std::string label;
     bool partial = false;
     double seconds = 0;
-    load_measures all;
-    std::map<std::string, load_measures> organisations;
+    load_metrics all;
+    std::map<std::string, load_metrics> organisations;
     std::map<std::string, std::uint64_t> reasons;
-    /// Answered well within the targets, for each second of the run.
+    /// Number of good responses for each second of the run, by the time their requests were scheduled.
     std::vector<std::uint64_t> goodBySecond;
-    /// The share of its wanted tokens that the worst-served organisation within its rate got answered well.
-    double worstServed = 1;
+    /// The lowest share of good responses among the organisations that keep within their rate.
+    double worstServedShare = 1;
     std::string worstOrganisation;
-    /// Prefill tokens computed and wasted, as the endpoints count them; filled in by the one who measures.
+    /// Prefill tokens computed and wasted, as counted by the endpoints; makeReport() leaves them at 0.
     double prefillTokens = 0;
     double wastedTokens = 0;
 };
 
 load_report makeReport(const traffic_plan& plan, const std::vector<request_outcome>& outcomes, const std::string& label, bool partial);
-/// The value below which that part of the values lie; 0 when there are none.
-double percentile(std::vector<double> values, double part);
-std::string reportJson(const load_report& report);
-std::string reportTable(const load_report& report);
-/// A plot of good answers for each second of the run, as SVG.
-std::string reportSvg(const std::vector<load_report>& reports);
-/// The measures that a comparison needs, read back from reportJson(). Errors: not such a file.
+/// The value at a quantile from 0 to 1; 0 if there are no values.
+double percentile(std::vector<double> values, double quantile);
+std::string reportToJson(const load_report& report);
+std::string reportToTable(const load_report& report);
+/// Plots the good responses per second of the runs as SVG.
+std::string reportToSvg(const std::vector<load_report>& reports);
+/// Reads the metrics that a comparison needs from a file written by reportToJson(). Errors: not such a file.
 result<load_report> readReport(const std::string& path);
-/// Several runs side by side as a Markdown table; runs with one label (seeds) are taken together.
-std::string compareTable(const std::vector<load_report>& reports);
+/// Formats runs as a Markdown table with one row per label; runs with the same label, such as several seeds, are averaged.
+std::string formatComparison(const std::vector<load_report>& reports);
 
 } // namespace pistachiolatch
--- a/Source/load/load_runner.cpp
+++ b/Source/load/load_runner.cpp
@@ -11,40 +11,40 @@
 
 namespace {
     constexpr milliseconds connectTimeout { 1000 };
-    constexpr milliseconds answerTimeout { 30000 };
+    constexpr milliseconds responseTimeout { 30000 };
     constexpr unsigned statusOk = 200;
-    /// A caller that leaves does so after this many tokens.
-    constexpr std::uint32_t leaveAfterTokens = 3;
+    /// Callers that abandon a response disconnect after this many tokens.
+    constexpr std::uint32_t abandonAfterTokens = 3;
 
-    std::string reasonOf(const std::string& body)
+    std::string extractErrorCode(const std::string& body)
     {
         json::error_code error;
         auto value = json::parse(body, error);
         if (error || !value.is_object() || !value.get_object().contains("error"))
             return "unreadable_error";
-        const auto& inner = value.at("error");
-        const auto* code = inner.is_object() ? inner.get_object().if_contains("code") : nullptr;
+        const auto& details = value.at("error");
+        const auto* code = details.is_object() ? details.get_object().if_contains("code") : nullptr;
         return code && code->is_string() ? std::string(code->get_string()) : "unreadable_error";
     }
 
-    /// What one event of a stream says.
-    struct stream_event {
+    /// The fields of one event of a completion stream.
+    struct completion_event {
         std::string text;
-        bool last = false;
-        bool error = false;
+        bool hasFinishReason = false;
+        bool isError = false;
     };
 
-    stream_event readEvent(const std::string& data)
+    completion_event parseEvent(const std::string& data)
     {
-        stream_event event;
+        completion_event event;
         json::error_code error;
         auto value = json::parse(data, error);
         if (error || !value.is_object() || value.get_object().contains("error")) {
-            event.error = true;
+            event.isError = true;
             return event;
         }
         const auto& choice = value.at("choices").at(0);
-        event.last = !choice.at("finish_reason").is_null();
+        event.hasFinishReason = !choice.at("finish_reason").is_null();
         event.text = choice.at("text").as_string().c_str();
         return event;
     }
@@ -62,7 +62,7 @@
     m_outcomes.reserve(requests.size());
     m_start = std::chrono::steady_clock::now();
     asio::co_spawn(m_context, sendAll(std::move(requests)), asio::detached);
-    // Ends when no work is left, or at the next look after stop().
+    // Ends when no work is left, or within 100 ms after stop().
     while (!m_stopped && !m_context.stopped())
         m_context.run_for(milliseconds(100));
     return std::move(m_outcomes);
@@ -75,10 +75,10 @@
 
 const std::string& load_runner::nextEntry()
 {
-    return m_target.entries[m_turn++ % m_target.entries.size()];
+    return m_target.entries[m_nextEntryIndex++ % m_target.entries.size()];
 }
 
-void load_runner::keep(request_outcome outcome)
+void load_runner::recordOutcome(request_outcome outcome)
 {
     m_outcomes.push_back(std::move(outcome));
 }
@@ -87,14 +87,14 @@
 {
     asio::steady_timer timer(m_context);
     for (auto& request : requests) {
-        timer.expires_at(m_start + request.at);
+        timer.expires_at(m_start + request.sendAt);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         bool model = m_plan.streams[request.stream].kind == "model";
         asio::co_spawn(m_context, model ? sendModel(std::move(request)) : sendService(std::move(request)), asio::detached);
     }
 }
 
-http_call load_runner::modelCall(const traffic_stream& stream, const std::string& prompt) const
+http_call load_runner::makeModelRequest(const traffic_stream& stream, const std::string& prompt) const
 {
     json::object body;
     body["model"] = stream.target;
@@ -113,70 +113,70 @@
     const auto& stream = m_plan.streams[request.stream];
     request_outcome outcome;
     outcome.stream = request.stream;
-    outcome.intended = request.at;
-    auto call = modelCall(stream, request.prompt);
+    outcome.scheduledAt = request.sendAt;
+    auto call = makeModelRequest(stream, request.prompt);
     http_client client(m_context.get_executor());
-    auto failed = co_await client.start(nextEntry(), call, connectTimeout, answerTimeout);
+    auto failed = co_await client.start(nextEntry(), call, connectTimeout, responseTimeout);
     if (failed == call_failure::None)
-        failed = co_await client.readHead(answerTimeout);
+        failed = co_await client.readHead(responseTimeout);
     if (failed != call_failure::None) {
         outcome.reason = "no_answer";
-        keep(std::move(outcome));
+        recordOutcome(std::move(outcome));
         co_return;
     }
     outcome.status = client.status();
-    received_answer answer;
-    while (co_await readSome(client, answer, outcome)) {
-        if (request.leaves && outcome.tokens >= leaveAfterTokens) {
-            outcome.left = true;
-            keep(std::move(outcome));
+    streamed_response response;
+    while (co_await readChunk(client, response, outcome)) {
+        if (request.abandons && outcome.tokens >= abandonAfterTokens) {
+            outcome.abandoned = true;
+            recordOutcome(std::move(outcome));
             co_return;
         }
     }
-    outcome.finished = sinceStart();
-    judge(answer, client.whole(), request, outcome);
-    keep(std::move(outcome));
+    outcome.finishedAt = sinceStart();
+    validateResponse(response, client.whole(), request, outcome);
+    recordOutcome(std::move(outcome));
 }
 
-task_of<bool> load_runner::readSome(http_client& client, received_answer& answer, request_outcome& outcome)
+task_of<bool> load_runner::readChunk(http_client& client, streamed_response& response, request_outcome& outcome)
 {
-    std::string piece;
-    auto failed = co_await client.readPiece(piece, answerTimeout);
-    if (failed != call_failure::None || piece.empty())
+    std::string chunk;
+    auto failed = co_await client.readPiece(chunk, responseTimeout);
+    if (failed != call_failure::None || chunk.empty())
         co_return false;
     if (outcome.status != statusOk) {
-        answer.error += piece;
+        response.errorBody += chunk;
         co_return true;
     }
-    answer.events.feed(piece);
-    while (auto data = answer.events.next()) {
+    response.events.feed(chunk);
+    while (auto data = response.events.next()) {
         if (*data == "[DONE]") {
-            answer.ended = true;
+            response.hasEndMarker = true;
             continue;
         }
-        auto event = readEvent(*data);
-        if (event.error)
-            outcome.reason = reasonOf(*data);
-        answer.last = answer.last || event.last;
+        auto event = parseEvent(*data);
+        if (event.isError)
+            outcome.reason = extractErrorCode(*data);
+        response.hasFinishReason = response.hasFinishReason || event.hasFinishReason;
         if (event.text.empty())
             continue;
         if (outcome.tokens++ == 0)
-            outcome.firstToken = sinceStart();
-        answer.text += event.text;
+            outcome.firstTokenAt = sinceStart();
+        response.text += event.text;
     }
     co_return true;
 }
 
-void load_runner::judge(const received_answer& answer, bool connectionWhole, const planned_request& request, request_outcome& outcome) const
+void load_runner::validateResponse(const streamed_response& response, bool connectionComplete, const planned_request& request, request_outcome& outcome) const
 {
     const auto& stream = m_plan.streams[request.stream];
     if (outcome.status != statusOk)
-        outcome.reason = reasonOf(answer.error);
-    outcome.whole = outcome.status == statusOk && answer.ended && answer.last && connectionWhole;
-    if (!outcome.whole && outcome.reason.empty())
+        outcome.reason = extractErrorCode(response.errorBody);
+    outcome.complete = outcome.status == statusOk && response.hasEndMarker && response.hasFinishReason && connectionComplete;
+    if (!outcome.complete && outcome.reason.empty())
         outcome.reason = "cut";
     auto expected = expectedText(request.prompt, stream.maxTokens);
-    outcome.wrong = outcome.whole ? answer.text != expected : expected.compare(0, answer.text.size(), answer.text) != 0;
+    outcome.incorrect = outcome.complete ? response.text != expected : expected.compare(0, response.text.size(), response.text) != 0;
     outcome.duplicate = outcome.tokens > expectedTokenCount(request.prompt, stream.maxTokens);
 }
 
@@ -185,7 +185,7 @@
     const auto& stream = m_plan.streams[request.stream];
     request_outcome outcome;
     outcome.stream = request.stream;
-    outcome.intended = request.at;
+    outcome.scheduledAt = request.sendAt;
     auto marker = fmt::format("call {}", request.number);
     http_call call;
     call.method = stream.method;
@@ -196,22 +196,22 @@
         call.headers.emplace_back("Content-Type", "text/plain");
         call.body = marker;
     }
-    auto answer = co_await http_client::fetch(nextEntry(), call, connectTimeout, answerTimeout);
-    outcome.firstToken = sinceStart();
-    outcome.finished = outcome.firstToken;
+    auto answer = co_await http_client::fetch(nextEntry(), call, connectTimeout, responseTimeout);
+    outcome.firstTokenAt = sinceStart();
+    outcome.finishedAt = outcome.firstTokenAt;
     outcome.status = answer.status;
-    outcome.whole = answer.succeeded();
+    outcome.complete = answer.succeeded();
     if (answer.failed != call_failure::None)
         outcome.reason = "no_answer";
-    else if (!outcome.whole)
-        outcome.reason = reasonOf(answer.body);
-    if (outcome.whole) {
-        // The stand-in service echoes path and body and counts how often it ran the call.
+    else if (!outcome.complete)
+        outcome.reason = extractErrorCode(answer.body);
+    if (outcome.complete) {
+        // The fake service echoes the path and body and counts how often it ran the call.
         auto path = fmt::format("\"path\":\"/{}\"", request.number);
-        outcome.wrong = answer.body.find(path) == std::string::npos || (stream.method == "POST" && answer.body.find(marker) == std::string::npos);
+        outcome.incorrect = answer.body.find(path) == std::string::npos || (stream.method == "POST" && answer.body.find(marker) == std::string::npos);
         outcome.duplicate = answer.body.find("\"executions\":1}") == std::string::npos;
     }
-    keep(std::move(outcome));
+    recordOutcome(std::move(outcome));
 }
 
 } // namespace pistachiolatch
--- a/Source/load/load_runner.h
+++ b/Source/load/load_runner.h
@@ -7,48 +7,49 @@
 
 namespace pistachiolatch {
 
-/// Where the load goes and with which keys.
+/// The entries to send requests to, and the API key of each organisation.
 struct load_target {
     std::vector<std::string> entries;
     std::map<std::string, std::string> keys;
 };
 
-/// Sends a plan's requests in open loop: each at its time, whether earlier ones were answered or not. Checks that
-/// each answer is whole and its caller's own. Latencies count from the intended time, so a late sender shows too.
+/// Sends the requests of a plan in an open loop: each at its scheduled time, whether or not earlier ones have completed.
+/// Verifies that each response is complete and belongs to its request. Latencies are measured from the scheduled time,
+/// so they include delays of the sender.
 class load_runner {
 public:
     load_runner(traffic_plan plan, load_target target);
 
-    /// Runs the plan. Ends early when stop() is called from a signal's thread.
+    /// Runs the plan. Returns early after stop(), which another thread may call.
     std::vector<request_outcome> run();
     void stop() { m_stopped = true; }
     bool stopped() const { return m_stopped; }
 
 private:
-    /// What has come of one streamed answer.
-    struct received_answer {
+    /// The part of a streamed response that has been received.
+    struct streamed_response {
         std::string text;
-        std::string error;
+        std::string errorBody;
         sse_parser events;
-        bool last = false;
-        bool ended = false;
+        bool hasFinishReason = false;
+        bool hasEndMarker = false;
     };
-    http_call modelCall(const traffic_stream& stream, const std::string& prompt) const;
-    /// Reads and takes in the next bytes; false at the end of the answer.
-    task_of<bool> readSome(http_client& client, received_answer& answer, request_outcome& outcome);
-    void judge(const received_answer& answer, bool connectionWhole, const planned_request& request, request_outcome& outcome) const;
+    http_call makeModelRequest(const traffic_stream& stream, const std::string& prompt) const;
+    /// Reads and parses the next chunk; false at the end of the response.
+    task_of<bool> readChunk(http_client& client, streamed_response& response, request_outcome& outcome);
+    void validateResponse(const streamed_response& response, bool connectionComplete, const planned_request& request, request_outcome& outcome) const;
     task_of<void> sendAll(std::vector<planned_request> requests);
     task_of<void> sendModel(planned_request request);
     task_of<void> sendService(planned_request request);
     std::chrono::microseconds sinceStart() const;
     const std::string& nextEntry();
-    void keep(request_outcome outcome);
+    void recordOutcome(request_outcome outcome);
 
     traffic_plan m_plan;
     load_target m_target;
     boost::asio::io_context m_context { 1 };
     time_point m_start {};
-    std::size_t m_turn = 0;
+    std::size_t m_nextEntryIndex = 0;
     std::vector<request_outcome> m_outcomes;
     std::atomic<bool> m_stopped { false };
 };
--- a/Source/load/main.cpp
+++ b/Source/load/main.cpp
@@ -1,4 +1,5 @@
-// pistachiolatch-load: sends traffic in open loop, checks the answers, and reports the brief's four measures.
+// pistachiolatch-load: sends traffic in an open loop, verifies the responses, and reports goodput, wasted prefill, the
+// worst-served organisation and wrongful refusals.
 #include "load/load_runner.h"
 
 #include <boost/asio.hpp>
@@ -29,13 +30,13 @@
         std::vector<std::string> compare;
     };
 
-    int complain(const std::string& problem)
+    int reportError(const std::string& message)
     {
-        fmt::print(stderr, "{}\n", problem);
+        fmt::print(stderr, "{}\n", message);
         return exitBadInput;
     }
 
-    /// The keys file holds ORGANISATION=KEY lines, as Utilities/local-fleet writes them.
+    /// Reads the API keys from a file of ORGANISATION=KEY lines, as Utilities/local-fleet writes it.
     result<std::map<std::string, std::string>> readKeys(const std::string& path)
     {
         std::ifstream file(path);
@@ -51,8 +52,8 @@
         return keys;
     }
 
-    /// Sums what the stand-in endpoints count of their prefill work.
-    void addEndpointCounts(load_report& report, const std::vector<std::string>& endpoints, double sign)
+    /// Adds the prefill counters of the fake endpoints to the report, or subtracts them if sign is -1.
+    void addEndpointCounters(load_report& report, const std::vector<std::string>& endpoints, double sign)
     {
         for (const auto& address : endpoints) {
             boost::asio::io_context context;
@@ -70,18 +71,18 @@
         }
     }
 
-    int compareRuns(const load_arguments& arguments)
+    int printComparison(const load_arguments& arguments)
     {
         std::vector<load_report> reports;
         for (const auto& path : arguments.compare) {
             auto report = readReport(path);
             if (!report)
-                return complain(report.error().message);
+                return reportError(report.error().message);
             reports.push_back(std::move(report.value()));
         }
-        fmt::print("{}", compareTable(reports));
+        fmt::print("{}", formatComparison(reports));
         if (!arguments.svg.empty())
-            std::ofstream(arguments.svg) << reportSvg(reports);
+            std::ofstream(arguments.svg) << reportToSvg(reports);
         return exitOk;
     }
 
@@ -89,25 +90,25 @@
     {
         auto plan = readTrafficPlan(arguments.traffic, arguments.scale);
         if (!plan)
-            return complain(plan.error().message);
+            return reportError(plan.error().message);
         if (arguments.seed != 0)
             plan.value().seed = arguments.seed;
         if (arguments.check) {
-            fmt::print("{}: traffic is good, {} requests\n", arguments.traffic, planRequests(plan.value()).size());
+            fmt::print("{}: traffic is valid, {} requests\n", arguments.traffic, planRequests(plan.value()).size());
             return exitOk;
         }
         auto keys = readKeys(arguments.keys);
         if (!keys)
-            return complain(keys.error().message);
+            return reportError(keys.error().message);
         if (arguments.entries.empty())
-            return complain("--entries: give the callers' address of each entry");
+            return reportError("--entries: give the address for callers of each entry");
         for (const auto& address : arguments.entries) {
             if (!isAddress(address))
-                return complain(fmt::format("--entries: \"{}\" is no IPv4 address and port", address));
+                return reportError(fmt::format("--entries: \"{}\" is not an IPv4 address and port", address));
         }
         for (const auto& stream : plan.value().streams) {
             if (!keys.value().count(stream.organisation))
-                return complain(fmt::format("{}: stream \"{}\": organisation \"{}\" has no key in {}", arguments.traffic, stream.name, stream.organisation, arguments.keys));
+                return reportError(fmt::format("{}: stream \"{}\": organisation \"{}\" has no key in {}", arguments.traffic, stream.name, stream.organisation, arguments.keys));
         }
 
         sigset_t signals;
@@ -115,30 +116,30 @@
         sigaddset(&signals, SIGINT);
         sigaddset(&signals, SIGTERM);
         pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-        load_report before;
-        addEndpointCounts(before, arguments.endpoints, -1);
+        load_report baseline;
+        addEndpointCounters(baseline, arguments.endpoints, -1);
         load_runner runner(plan.value(), { arguments.entries, keys.value() });
-        std::thread watcher([&] {
+        std::thread signalThread([&] {
             int signal = 0;
             sigwait(&signals, &signal);
             runner.stop();
         });
         auto outcomes = runner.run();
         bool partial = runner.stopped();
-        pthread_kill(watcher.native_handle(), SIGTERM);
-        watcher.join();
+        pthread_kill(signalThread.native_handle(), SIGTERM);
+        signalThread.join();
         auto report = makeReport(plan.value(), outcomes, arguments.label, partial);
-        report.prefillTokens = before.prefillTokens;
-        report.wastedTokens = before.wastedTokens;
-        addEndpointCounts(report, arguments.endpoints, 1);
-        fmt::print("{}", reportTable(report));
+        report.prefillTokens = baseline.prefillTokens;
+        report.wastedTokens = baseline.wastedTokens;
+        addEndpointCounters(report, arguments.endpoints, 1);
+        fmt::print("{}", reportToTable(report));
         if (report.prefillTokens > 0)
             fmt::print("prefill tokens {:.0f}, wasted {:.2f} %\n", report.prefillTokens, 100.0 * report.wastedTokens / report.prefillTokens);
         if (!arguments.json.empty())
-            std::ofstream(arguments.json) << reportJson(report) << "\n";
+            std::ofstream(arguments.json) << reportToJson(report) << "\n";
         if (!arguments.svg.empty())
-            std::ofstream(arguments.svg) << reportSvg({ report });
-        return report.all.wrong > 0 || report.all.duplicates > 0 ? exitFailed : exitOk;
+            std::ofstream(arguments.svg) << reportToSvg({ report });
+        return report.all.incorrect > 0 || report.all.duplicates > 0 ? exitFailed : exitOk;
     }
 }
 
@@ -147,28 +148,28 @@
 int main(int argc, char** argv)
 {
     using namespace pistachiolatch;
-    CLI::App app("Sends traffic to a fleet in open loop and reports goodput, wasted prefill, the worst-served organisation and wrongful refusals.", "pistachiolatch-load");
+    CLI::App app("Sends traffic to a fleet in an open loop and reports goodput, wasted prefill, the worst-served organisation and wrongful refusals.", "pistachiolatch-load");
     app.set_version_flag("--version", std::string("pistachiolatch-load ") + PISTACHIOLATCH_VERSION);
     load_arguments arguments;
-    app.add_option("--traffic", arguments.traffic, "TOML file of streams");
-    app.add_option("--entries", arguments.entries, "callers' addresses, separated by commas")->delimiter(',');
+    app.add_option("--traffic", arguments.traffic, "TOML file that describes the traffic");
+    app.add_option("--entries", arguments.entries, "addresses for callers of the entries, separated by commas")->delimiter(',');
     app.add_option("--keys", arguments.keys, "file of ORGANISATION=KEY lines");
-    app.add_option("--endpoints", arguments.endpoints, "stand-in endpoints to ask for their prefill counts")->delimiter(',');
-    app.add_option("--label", arguments.label, "name of the run");
+    app.add_option("--endpoints", arguments.endpoints, "fake endpoints to read prefill counters from, separated by commas")->delimiter(',');
+    app.add_option("--label", arguments.label, "label of the run; runs with the same label are averaged by --compare");
     app.add_option("--json", arguments.json, "write the report as JSON");
-    app.add_option("--svg", arguments.svg, "write a plot");
-    app.add_option("--scale", arguments.scale, "multiplies every stream's rate")->check(CLI::Range(0.001, 1000.0));
-    app.add_option("--seed", arguments.seed, "replaces the file's seed");
-    app.add_flag("--check", arguments.check, "check the traffic file and exit");
-    app.add_option("--compare", arguments.compare, "print reports side by side")->delimiter(',');
+    app.add_option("--svg", arguments.svg, "write a plot of good responses per second as SVG");
+    app.add_option("--scale", arguments.scale, "factor for the rate of every stream")->check(CLI::Range(0.001, 1000.0));
+    app.add_option("--seed", arguments.seed, "seed to use instead of the one in the traffic file");
+    app.add_flag("--check", arguments.check, "validate the traffic file and exit");
+    app.add_option("--compare", arguments.compare, "print a table that compares JSON reports, separated by commas")->delimiter(',');
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         return app.exit(error) == 0 ? exitOk : exitBadInput;
     }
     if (!arguments.compare.empty())
-        return compareRuns(arguments);
+        return printComparison(arguments);
     if (arguments.traffic.empty())
-        return complain("give --traffic FILE or --compare FILES");
+        return reportError("give --traffic FILE or --compare FILES");
     return runLoad(arguments);
 }
--- a/Source/load/traffic_plan.h
+++ b/Source/load/traffic_plan.h
@@ -6,51 +6,52 @@
 
 namespace pistachiolatch {
 
-/// One kind of request of one organisation.
+/// A stream of similar requests of one organisation.
 struct traffic_stream {
     std::string name;
     std::string organisation;
     /// "model" or "service".
     std::string kind = "model";
     std::string target;
-    double perSecond = 1;
-    std::uint32_t promptTokensLeast = 20;
-    std::uint32_t promptTokensMost = 200;
+    double requestsPerSecond = 1;
+    std::uint32_t minPromptTokens = 20;
+    std::uint32_t maxPromptTokens = 200;
     std::uint32_t maxTokens = 64;
-    /// "GET" or "POST" of a service call; POST carries an idempotency key.
+    /// Method of a service call, "GET" or "POST"; POST requests carry an idempotency key.
     std::string method = "GET";
-    /// Percent of callers that leave before the end.
-    std::uint32_t leavePercent = 0;
-    /// Prompts share one of this many beginnings; 0 means that each is its own.
-    std::uint32_t prefixes = 0;
-    /// The organisation keeps within its rate, so that no refusal for lack of anything is its fault.
+    /// Percentage of callers that disconnect before the end of the response.
+    std::uint32_t abandonPercent = 0;
+    /// Number of distinct prompt prefixes that requests share; 0 gives each prompt a prefix of its own.
+    std::uint32_t prefixCount = 0;
+    /// The organisation keeps within its rate limit, so a refusal for lack of tokens or capacity counts as wrongful.
     bool withinRate = true;
 };
 
-/// A fault at a given time, carried out by a command of the one who measures.
+/// The traffic of one run, with the latency targets that its responses are measured against.
 struct traffic_plan {
     std::uint64_t seed = 1;
-    std::chrono::milliseconds length { 20000 };
-    /// Left out of the figures: the fleet warms up.
+    std::chrono::milliseconds duration { 20000 };
+    /// Time at the start whose requests are excluded from the report.
     std::chrono::milliseconds warmUp { 2000 };
-    std::chrono::milliseconds firstToken { 980 };
-    std::chrono::milliseconds perToken { 70 };
+    std::chrono::milliseconds firstTokenTarget { 980 };
+    std::chrono::milliseconds perTokenTarget { 70 };
     std::vector<traffic_stream> streams;
 };
 
-/// Reads a traffic file. Errors: file, line, key and what to do.
+/// Reads a traffic file and multiplies the rate of every stream by scale. Errors name the file, line and key and how to
+/// correct it.
 result<traffic_plan> readTrafficPlan(const std::string& path, double scale);
 
-/// One request that is to be sent at a time after the start.
+/// A request with the time to send it, counted from the start of the run.
 struct planned_request {
-    std::chrono::microseconds at { 0 };
+    std::chrono::microseconds sendAt { 0 };
     std::size_t stream = 0;
     std::string prompt;
-    bool leaves = false;
+    bool abandons = false;
     std::uint64_t number = 0;
 };
 
-/// All requests of a plan in the order of their times: Poisson arrivals, the same for the same seed.
+/// Generates all requests of a plan, sorted by send time: Poisson arrivals, identical for the same seed.
 std::vector<planned_request> planRequests(const traffic_plan& plan);
 
 } // namespace pistachiolatch
