--- a/Tests/Platform/PlatformSessionTest.cpp
+++ b/Tests/Platform/PlatformSessionTest.cpp
@@ -15,7 +15,7 @@
 /// Sends a caller's call under a running number and writes down what came back and what the endpoints saw.
 class caller_session {
 public:
-    caller_session(platform_fleet& where, std::vector<stand_in_runner*> runners)
+    caller_session(platform_fleet& where, std::vector<fake_endpoint*> runners)
         : m_where(where)
         , m_runners(std::move(runners))
     {
@@ -51,7 +51,7 @@
 
 private:
     platform_fleet& m_where;
-    std::vector<stand_in_runner*> m_runners;
+    std::vector<fake_endpoint*> m_runners;
     int m_number = 0;
 };
 
@@ -67,28 +67,28 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner app1("app-1", where.runnerAddress(1), "app", "");
-    stand_in_runner app2("app-2", where.runnerAddress(2), "app", "");
-    stand_in_runner prefill("prefill-1", where.runnerAddress(3), "llm", "prefill");
-    stand_in_runner decode1("decode-1", where.runnerAddress(4), "llm", "decode");
-    stand_in_runner decode2("decode-2", where.runnerAddress(5), "llm", "decode");
+    fake_endpoint app1("app-1", where.runnerAddress(1), "app", "");
+    fake_endpoint app2("app-2", where.runnerAddress(2), "app", "");
+    fake_endpoint prefill("prefill-1", where.runnerAddress(3), "llm", "prefill");
+    fake_endpoint decode1("decode-1", where.runnerAddress(4), "llm", "decode");
+    fake_endpoint decode2("decode-2", where.runnerAddress(5), "llm", "decode");
     caller_session session(where, { &app1, &app2, &prefill, &decode1, &decode2 });
 
     REQUIRE(eventually([&] { return where.call(where.readyAddress(1), "GET", platform_names::readyPath).status == 503; }));
     session.call("before any configuration", "GET", "/read/x");
 
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
-    CHECK(where.submit(exampleConfiguration(6)) == 200);
-    CHECK(where.submit("{\"version\":8") == 400);
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
+    CHECK(where.submitConfiguration(exampleConfiguration(6)) == 200);
+    CHECK(where.submitConfiguration("{\"version\":8") == 400);
     auto held = where.call(where.controlAddress(2), "GET", platform_names::configurationPath);
     CHECK(held.status == 200);
     CHECK(held.body == exampleConfiguration(7));
 
     for (auto* runner : { &app1, &prefill, &decode1 })
-        CHECK(where.report(*runner).status == 200);
+        CHECK(where.sendReport(*runner).status == 200);
     auto unreadable = where.call(where.controlAddress(1), "PUT", std::string(platform_names::endpointsPath) + "x", {}, R"({"service":"app","slots":"many"})");
     session.text += fmt::format("# a report that can't be read\n{}\n{}\n\n", unreadable.status, unreadable.body);
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
 
     session.call("a read", "GET", "/read/x?q=1", { { platform_names::organisation, "forged" }, { platform_names::kvSource, "forged" } });
     session.call("a booking", "POST", "/book/x", {}, "two kits");
@@ -98,26 +98,26 @@
     session.call("a report, prompt read apart", "POST", "/report/x", promptOf(500, 432), "the prompt");
     session.call("a stream that runs once", "POST", "/once/x", promptOf(500, 432), "the prompt");
 
-    app1.setMode(runner_mode::ServerError);
+    app1.setMode(fake_endpoint_mode::ServerError);
     session.call("a read that fails at the only endpoint", "GET", "/read/x");
-    app1.setMode(runner_mode::BreakUnanswered);
+    app1.setMode(fake_endpoint_mode::AbortBeforeResponse);
     session.call("a booking whose endpoint breaks off", "POST", "/book/x", {}, "two kits");
-    app1.setMode(runner_mode::Unsealed);
+    app1.setMode(fake_endpoint_mode::OmitSeal);
     session.call("a booking answered without a seal", "POST", "/book/x", {}, "two kits");
-    app1.setMode(runner_mode::RefuseUnrun);
+    app1.setMode(fake_endpoint_mode::RejectNotExecuted);
     session.call("a booking refused by the only endpoint", "POST", "/book/x", {}, "two kits");
-    CHECK(where.report(app2).status == 200);
+    CHECK(where.sendReport(app2).status == 200);
     REQUIRE(eventually([&] { return where.call(where.entryAddress(1), "GET", "/read/wait", { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "wait" } }).status == 200; }));
     app2.takeSeen();
     session.call("a booking refused by one endpoint of two", "POST", "/book/x", {}, "two kits");
 
-    CHECK(where.report(app1, "draining", 3).status == 200);
-    app1.setMode(runner_mode::Good);
+    CHECK(where.sendReport(app1, "draining", 3).status == 200);
+    app1.setMode(fake_endpoint_mode::Normal);
     session.call("a read after an endpoint said that it leaves", "GET", "/read/x");
 
-    decode1.setMode(runner_mode::BreakMidway);
-    CHECK(where.report(decode2).status == 200);
-    decode2.setMode(runner_mode::BreakMidway);
+    decode1.setMode(fake_endpoint_mode::AbortMidStream);
+    CHECK(where.sendReport(decode2).status == 200);
+    decode2.setMode(fake_endpoint_mode::AbortMidStream);
     session.call("a stream that runs once breaks off", "POST", "/once/x", promptOf(500, 432), "the prompt");
     auto whole = session.call("a report goes on at another endpoint", "POST", "/report/x", promptOf(500, 432), "the prompt");
     CHECK_FALSE(whole.broken);
@@ -133,10 +133,10 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner app("app-1", where.runnerAddress(1), "app", "");
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
-    REQUIRE(where.report(app).status == 200);
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    fake_endpoint app("app-1", where.runnerAddress(1), "app", "");
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
+    REQUIRE(where.sendReport(app).status == 200);
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
     http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" } };
     CHECK(where.call(where.entryAddress(1), "GET", "/read/x", headers).status == 200);
     for (int n = 1; n <= 3; ++n)
@@ -147,10 +147,10 @@
     CHECK(std::chrono::steady_clock::now() - stoppedAt < std::chrono::milliseconds(1000));
     REQUIRE(eventually([&] { return where.call(where.entryAddress(1), "GET", "/read/x", headers).status == 503; }));
     CHECK(std::chrono::steady_clock::now() - stoppedAt < std::chrono::milliseconds(4600));
-    CHECK_FALSE(where.entryReady(1));
+    CHECK_FALSE(where.isEntryReady(1));
     for (int n = 1; n <= 3; ++n)
         where.control(n).signal(SIGCONT);
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
     CHECK(where.call(where.entryAddress(1), "GET", "/read/x", headers).status == 200);
 }
 
@@ -162,15 +162,15 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner app("app-1", where.runnerAddress(1), "app", "");
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
-    REQUIRE(where.report(app, "ready", 3).status == 200);
+    fake_endpoint app("app-1", where.runnerAddress(1), "app", "");
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
+    REQUIRE(where.sendReport(app, "ready", 3).status == 200);
     where.control(1).signal(SIGSTOP);
     where.control(2).signal(SIGSTOP);
-    CHECK(eventually([&] { return where.report(app, "ready", 3).status == 503; }, std::chrono::seconds(8)));
+    CHECK(eventually([&] { return where.sendReport(app, "ready", 3).status == 503; }, std::chrono::seconds(8)));
     where.control(1).signal(SIGCONT);
     where.control(2).signal(SIGCONT);
-    CHECK(eventually([&] { return where.report(app, "ready", 3).status == 200; }, std::chrono::seconds(8)));
+    CHECK(eventually([&] { return where.sendReport(app, "ready", 3).status == 200; }, std::chrono::seconds(8)));
 }
 
 // Operators see: a change that was acknowledged is missing when they read it back.
@@ -181,7 +181,7 @@
     platform_fleet where;
     where.start();
     for (std::uint64_t version = 1; version <= 5; ++version)
-        REQUIRE(where.submit(exampleConfiguration(version)) == 200);
+        REQUIRE(where.submitConfiguration(exampleConfiguration(version)) == 200);
     for (int n = 1; n <= 3; ++n)
         where.control(n).kill();
     for (int n = 1; n <= 3; ++n)
@@ -200,17 +200,17 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner decode("decode-1", where.runnerAddress(4), "llm", "decode");
+    fake_endpoint decode("decode-1", where.runnerAddress(4), "llm", "decode");
     decode.setPace(milliseconds(250));
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
-    REQUIRE(where.report(decode).status == 200);
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
+    REQUIRE(where.sendReport(decode).status == 200);
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
     simple_answer answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = where.call(where.entryAddress(1), "POST", "/once/x", headers, "the prompt");
     });
-    REQUIRE(eventually([&] { return !decode.runs().empty(); }));
+    REQUIRE(eventually([&] { return !decode.runCounts().empty(); }));
     where.entry(1).signal(SIGTERM);
     caller.join();
     CHECK(answer.status == 200);
@@ -226,22 +226,22 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner decode("decode-1", where.runnerAddress(4), "llm", "decode");
-    decode.setMode(runner_mode::StandStill);
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
-    REQUIRE(where.report(decode).status == 200);
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    fake_endpoint decode("decode-1", where.runnerAddress(4), "llm", "decode");
+    decode.setMode(fake_endpoint_mode::StallMidStream);
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
+    REQUIRE(where.sendReport(decode).status == 200);
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
     simple_answer answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = where.call(where.entryAddress(1), "POST", "/report/x", headers, "the prompt");
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
-    decode.setMode(runner_mode::Good);
+    decode.setMode(fake_endpoint_mode::Normal);
     caller.join();
     CHECK(answer.status == 200);
     CHECK_FALSE(answer.broken);
-    CHECK(decode.runs() == std::map<std::string, int> { { "one", 1 } });
+    CHECK(decode.runCounts() == std::map<std::string, int> { { "one", 1 } });
 }
 
 // Callers see: a report stops halfway and never goes on.
@@ -251,21 +251,21 @@
 {
     platform_fleet where;
     where.start();
-    stand_in_runner decode1("decode-1", where.runnerAddress(4), "llm", "decode");
-    stand_in_runner decode2("decode-2", where.runnerAddress(5), "llm", "decode");
-    REQUIRE(where.submit(exampleConfiguration(7)) == 200);
+    fake_endpoint decode1("decode-1", where.runnerAddress(4), "llm", "decode");
+    fake_endpoint decode2("decode-2", where.runnerAddress(5), "llm", "decode");
+    REQUIRE(where.submitConfiguration(exampleConfiguration(7)) == 200);
     for (auto* runner : { &decode1, &decode2 }) {
-        runner->setMode(runner_mode::StandStill);
-        REQUIRE(where.report(*runner).status == 200);
+        runner->setMode(fake_endpoint_mode::StallMidStream);
+        REQUIRE(where.sendReport(*runner).status == 200);
     }
-    REQUIRE(eventually([&] { return where.entryReady(1); }));
+    REQUIRE(eventually([&] { return where.isEntryReady(1); }));
     http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
     auto answer = where.call(where.entryAddress(1), "POST", "/report/x", headers, "the prompt");
     CHECK(answer.status == 200);
     CHECK_FALSE(answer.broken);
-    for (int i = 0; i < stand_in_runner::eventsOfStream; ++i)
+    for (int i = 0; i < fake_endpoint::eventsPerStream; ++i)
         CHECK(answer.body.find(fmt::format("data: piece {}\n", i)) != std::string::npos);
-    CHECK(decode1.runs().size() + decode2.runs().size() == 2);
+    CHECK(decode1.runCounts().size() + decode2.runCounts().size() == 2);
 }
 
 TEST_CASE("Settings that can't be used are refused with file, key and remedy")
--- a/Tests/Platform/PoisonRequestTest.cpp
+++ b/Tests/Platform/PoisonRequestTest.cpp
@@ -21,9 +21,9 @@
     crashing_fleet()
     {
         platform.start();
-        REQUIRE(platform.submit(exampleConfiguration(7)) == 200);
+        REQUIRE(platform.submitConfiguration(exampleConfiguration(7)) == 200);
         for (int n = 1; n <= engines; ++n)
-            m_engines.push_back(std::make_unique<stand_in_runner>(fmt::format("decode-{}", n), platform.runnerAddress(n), "llm", "decode"));
+            m_engines.push_back(std::make_unique<fake_endpoint>(fmt::format("decode-{}", n), platform.runnerAddress(n), "llm", "decode"));
         m_reporter = std::thread([this] {
             while (!m_stopped) {
                 reportAll();
@@ -31,7 +31,7 @@
             }
         });
         for (int n = 1; n <= entries; ++n)
-            REQUIRE(eventually([&] { return platform.entryReady(n) && ask(n, "/report/x", "warm up").status == 200; }));
+            REQUIRE(eventually([&] { return platform.isEntryReady(n) && ask(n, "/report/x", "warm up").status == 200; }));
     }
 
     ~crashing_fleet()
@@ -64,12 +64,12 @@
             auto id = engine->id() + "-again";
             auto address = engine->address();
             engine.reset();
-            engine = std::make_unique<stand_in_runner>(id, address, "llm", "decode");
-            engine->setBorn(stand_in_runner::firstBorn + m_crashesBefore);
+            engine = std::make_unique<fake_endpoint>(id, address, "llm", "decode");
+            engine->setBorn(fake_endpoint::firstBorn + m_crashesBefore);
         }
     }
 
-    void setModes(runner_mode mode)
+    void setModes(fake_endpoint_mode mode)
     {
         std::lock_guard lock(m_mutex);
         for (auto& engine : m_engines)
@@ -97,14 +97,14 @@
         std::lock_guard lock(m_mutex);
         for (auto& engine : m_engines) {
             for (int control = 1; control <= platform.controls() && !engine->crashed(); ++control) {
-                if (platform.report(*engine, "ready", control).status == 200)
+                if (platform.sendReport(*engine, "ready", control).status == 200)
                     break;
             }
         }
     }
 
     std::mutex m_mutex;
-    std::vector<std::unique_ptr<stand_in_runner>> m_engines;
+    std::vector<std::unique_ptr<fake_endpoint>> m_engines;
     std::atomic<bool> m_stopped { false };
     std::atomic<int> m_requests { 0 };
     int m_crashesBefore = 0;
@@ -155,9 +155,9 @@
 TEST_CASE("A request whose streams broke at running endpoints is served again", "[promise]")
 {
     crashing_fleet fleet;
-    fleet.setModes(runner_mode::BreakMidway);
+    fleet.setModes(fake_endpoint_mode::AbortMidStream);
     for (int entry = 1; entry <= 3; ++entry)
         fleet.ask(entry, "/once/x", "the prompt");
-    fleet.setModes(runner_mode::Good);
+    fleet.setModes(fake_endpoint_mode::Normal);
     CHECK(eventually([&] { return fleet.ask(4, "/once/x", "the prompt").status == 200; }, std::chrono::seconds(10)));
 }
--- a/Tests/Platform/StorageFaultTest.cpp
+++ b/Tests/Platform/StorageFaultTest.cpp
@@ -21,8 +21,8 @@
         : app("app-1", fleet.runnerAddress(1), "app", "")
     {
         fleet.start();
-        REQUIRE(fleet.submit(exampleConfiguration(7)) == 200);
-        REQUIRE(fleet.report(app).status == 200);
+        REQUIRE(fleet.submitConfiguration(exampleConfiguration(7)) == 200);
+        REQUIRE(fleet.sendReport(app).status == 200);
     }
 
     /// Lets time pass while the app reports itself to one control process. Returns how many reports were confirmed.
@@ -31,7 +31,7 @@
         int confirmed = 0;
         auto end = std::chrono::steady_clock::now() + length;
         while (std::chrono::steady_clock::now() < end) {
-            confirmed += fleet.report(app, "ready", control).status == 200 ? 1 : 0;
+            confirmed += fleet.sendReport(app, "ready", control).status == 200 ? 1 : 0;
             for (int n = 1; n <= fleet.controls(); ++n)
                 REQUIRE(fleet.control(n).running());
             std::this_thread::sleep_for(look);
@@ -50,7 +50,7 @@
     }
 
     platform_fleet fleet;
-    stand_in_runner app;
+    fake_endpoint app;
 };
 }
 
@@ -62,7 +62,7 @@
     for (int full = 1; full <= 3; ++full) {
         auto version = static_cast<std::uint64_t>(10 * full);
         fleet.control(full).refuseWrites(true);
-        REQUIRE(fleet.submit(exampleConfiguration(version)) == 200);
+        REQUIRE(fleet.submitConfiguration(exampleConfiguration(version)) == 200);
         fault.pass(std::chrono::seconds(2), full);
         // It still passes on what it is told: reports of endpoints, changes and reads.
         auto confirmed = fault.pass(longFault, full);
@@ -93,7 +93,7 @@
     for (int n = 1; n <= 3; ++n)
         fleet.control(n).refuseWrites(false);
     CHECK(eventually([&] { return fault.statusOfChange(10, 1) == 200; }, recoveryBound));
-    CHECK(eventually([&] { return fleet.report(fault.app).status == 200 && fleet.entryReady(1); }, recoveryBound));
+    CHECK(eventually([&] { return fleet.sendReport(fault.app).status == 200 && fleet.isEntryReady(1); }, recoveryBound));
     for (int n = 1; n <= 3; ++n)
         fleet.control(n).kill();
     for (int n = 1; n <= 3; ++n)
@@ -111,7 +111,7 @@
     fleet.startControl(3, false);
     fault.pass(longFault, 3);
     CHECK(readFile(fleet.folder() + "/control-3.out").find("hard_state: damaged; empty the data folder") != std::string::npos);
-    REQUIRE(fleet.submit(exampleConfiguration(8)) == 200);
+    REQUIRE(fleet.submitConfiguration(exampleConfiguration(8)) == 200);
     fleet.wipeControl(3);
     // With another one gone a change needs the vote of the new replica.
     CHECK(eventually([&] { return readFile(fleet.folder() + "/control-3.out").find("event=replica_opened") != std::string::npos; }, recoveryBound));
--- a/Tests/Platform/StreamEndTest.cpp
+++ b/Tests/Platform/StreamEndTest.cpp
@@ -13,15 +13,15 @@
 class single_engine_fleet {
 public:
     platform_fleet platform;
-    stand_in_runner decode;
+    fake_endpoint decode;
 
     single_engine_fleet()
         : decode("decode-1", platform.runnerAddress(4), "llm", "decode")
     {
         platform.start();
-        REQUIRE(platform.submit(exampleConfiguration(7)) == 200);
-        REQUIRE(platform.report(decode).status == 200);
-        REQUIRE(eventually([&] { return platform.entryReady(1); }));
+        REQUIRE(platform.submitConfiguration(exampleConfiguration(7)) == 200);
+        REQUIRE(platform.sendReport(decode).status == 200);
+        REQUIRE(eventually([&] { return platform.isEntryReady(1); }));
     }
 
     simple_answer stream(const std::string& path, const std::string& id, milliseconds deadline = milliseconds(6000)) const
@@ -56,21 +56,21 @@
 {
     single_engine_fleet fleet;
     std::string path = GENERATE("/report/x", "/once/x");
-    fleet.decode.setMode(runner_mode::StandStill);
+    fleet.decode.setMode(fake_endpoint_mode::StallMidStream);
     simple_answer answer;
     std::thread caller([&] { answer = fleet.stream(path, "one"); });
-    CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
+    CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
     for (std::uint64_t version = 8; version <= 11; ++version) {
         std::this_thread::sleep_for(milliseconds(450));
-        CHECK(fleet.platform.submit(exampleConfiguration(version)) == 200);
+        CHECK(fleet.platform.submitConfiguration(exampleConfiguration(version)) == 200);
     }
-    fleet.decode.setMode(runner_mode::Good);
+    fleet.decode.setMode(fake_endpoint_mode::Normal);
     caller.join();
     INFO(path << " " << answer.body);
     CHECK(answer.status == 200);
     CHECK_FALSE(answer.broken);
-    CHECK(answer.body.find(fmt::format("data: piece {}\n", stand_in_runner::eventsOfStream - 1)) != std::string::npos);
-    CHECK(fleet.decode.runs() == std::map<std::string, int> { { "one", 1 } });
+    CHECK(answer.body.find(fmt::format("data: piece {}\n", fake_endpoint::eventsPerStream - 1)) != std::string::npos);
+    CHECK(fleet.decode.runCounts() == std::map<std::string, int> { { "one", 1 } });
     CHECK(fleet.logLines("answer_cut", "one").empty());
 }
 
@@ -80,25 +80,25 @@
     single_engine_fleet fleet;
     SECTION("its engine fails and the call must not run twice")
     {
-        fleet.decode.setMode(runner_mode::BreakMidway);
+        fleet.decode.setMode(fake_endpoint_mode::AbortMidStream);
         CHECK(fleet.stream("/once/x", "one").broken);
         CHECK(fleet.logsCutReason("one", "not_idempotent"));
     }
     SECTION("its engine fails and no other has capacity")
     {
-        fleet.decode.setMode(runner_mode::BreakMidway);
+        fleet.decode.setMode(fake_endpoint_mode::AbortMidStream);
         fleet.decode.setPace(milliseconds(300));
         simple_answer answer;
         std::thread caller([&] { answer = fleet.stream("/report/x", "one"); });
-        CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
-        CHECK(fleet.platform.report(fleet.decode, "draining").status == 200);
+        CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
+        CHECK(fleet.platform.sendReport(fleet.decode, "draining").status == 200);
         caller.join();
         CHECK(answer.broken);
         CHECK(fleet.logsCutReason("one", "no_endpoint"));
     }
     SECTION("the caller's deadline passes")
     {
-        fleet.decode.setMode(runner_mode::StandStill);
+        fleet.decode.setMode(fake_endpoint_mode::StallMidStream);
         CHECK(fleet.stream("/report/x", "one", milliseconds(1200)).broken);
         CHECK(fleet.logsCutReason("one", "deadline"));
         CHECK(fleet.logLines("answer_cut", "one").find(" deadline_ms=1200 ") != std::string::npos);
@@ -107,12 +107,12 @@
     {
         // The route timeout must exceed the shutdown grace period.
         auto longTimeoutConfiguration = std::regex_replace(exampleConfiguration(8), std::regex(R"("timeoutMs":6000)"), R"("timeoutMs":60000)");
-        REQUIRE(fleet.platform.submit(longTimeoutConfiguration) == 200);
+        REQUIRE(fleet.platform.submitConfiguration(longTimeoutConfiguration) == 200);
         REQUIRE(eventually([&] { return readFile(fleet.platform.folder() + "/entry-1.out").find("event=configuration_applied version=8 ") != std::string::npos; }));
         fleet.decode.setPace(milliseconds(2500));
         simple_answer answer;
         std::thread caller([&] { answer = fleet.stream("/once/x", "one", milliseconds(60000)); });
-        CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
+        CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
         fleet.platform.entry(1).signal(SIGTERM);
         caller.join();
         CHECK(answer.broken);
--- a/Tests/Platform/stand_in_runner.cpp
+++ b/Tests/Platform/fake_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "Platform/stand_in_runner.h"
+#include "Platform/fake_endpoint.h"
 
 #include "platform_names.h"
 #include <boost/asio.hpp>
@@ -16,7 +16,7 @@
     }
 }
 
-stand_in_runner::stand_in_runner(std::string id, const std::string& address, std::string service, std::string stage)
+fake_endpoint::fake_endpoint(std::string id, const std::string& address, std::string service, std::string stage)
     : m_id(std::move(id))
     , m_address(address)
     , m_announced(address)
@@ -31,12 +31,12 @@
     m_threads.start();
 }
 
-stand_in_runner::~stand_in_runner()
+fake_endpoint::~fake_endpoint()
 {
     m_threads.stop();
 }
 
-std::string stand_in_runner::report(const std::string& state)
+std::string fake_endpoint::report(const std::string& state)
 {
     boost::json::object body { { "service", m_service }, { "address", m_announced }, { "zone", "a" }, { "version", "v1" }, { "slots", 4 }, { "state", state },
         { "coldRemainingMs", 0 }, { "born", m_born.load() }, { "sequence", ++m_sequence } };
@@ -45,19 +45,19 @@
     return boost::json::serialize(body);
 }
 
-std::vector<std::string> stand_in_runner::takeSeen()
+std::vector<std::string> fake_endpoint::takeSeen()
 {
     std::lock_guard lock(m_mutex);
     return std::exchange(m_seen, {});
 }
 
-std::map<std::string, int> stand_in_runner::runs() const
+std::map<std::string, int> fake_endpoint::runCounts() const
 {
     std::lock_guard lock(m_mutex);
     return m_runs;
 }
 
-void stand_in_runner::note(const http_exchange& exchange)
+void fake_endpoint::note(const http_exchange& exchange)
 {
     auto line = fmt::format("{} {} {}", m_id, exchange.method(), std::string(exchange.message().target()));
     for (const auto* name : { names::requestId, names::organisation, names::expectEndpoint, names::part, names::kvSource, names::lastEventId, names::authorization }) {
@@ -72,7 +72,7 @@
         ++m_runs[exchange.header(names::requestId)];
 }
 
-task_of<void> stand_in_runner::handle(http_exchange& exchange)
+task_of<void> fake_endpoint::handle(http_exchange& exchange)
 {
     if (exchange.message().body().find(crashMark) != std::string::npos && !m_crashed.exchange(true))
         m_server.stopAccepting();
@@ -87,13 +87,13 @@
         co_await exchange.respond(421, "", "", headers);
         co_return;
     }
-    if (mode == runner_mode::RefuseUnrun) {
+    if (mode == fake_endpoint_mode::RejectNotExecuted) {
         headers.emplace_back(names::notExecuted, "1");
         co_await exchange.respond(503, "", "", headers);
         co_return;
     }
     note(exchange);
-    if (mode == runner_mode::BreakUnanswered) {
+    if (mode == fake_endpoint_mode::AbortBeforeResponse) {
         exchange.abortStream();
         co_return;
     }
@@ -104,9 +104,9 @@
         co_await exchange.respond(200, "application/json", body, headers);
         co_return;
     }
-    if (mode != runner_mode::Unsealed)
+    if (mode != fake_endpoint_mode::OmitSeal)
         headers.emplace_back(names::seal, "seal-of-" + m_id);
-    if (mode == runner_mode::ServerError) {
+    if (mode == fake_endpoint_mode::ServerError) {
         co_await exchange.respond(500, "text/plain", "broken", headers);
         co_return;
     }
@@ -117,20 +117,20 @@
     co_await exchange.respond(200, "text/plain", "answer to " + id, headers);
 }
 
-task_of<void> stand_in_runner::stream(http_exchange& exchange, const http_headers& headers, runner_mode mode)
+task_of<void> fake_endpoint::stream(http_exchange& exchange, const http_headers& headers, fake_endpoint_mode mode)
 {
     if (!co_await exchange.beginStream(200, "text/event-stream", headers))
         co_return;
     boost::asio::steady_timer pause(co_await boost::asio::this_coro::executor);
     auto first = resumeFrom(exchange);
-    for (auto i = first; i < eventsOfStream; ++i) {
-        if (mode == runner_mode::BreakMidway && first == 0 && i == 2) {
+    for (auto i = first; i < eventsPerStream; ++i) {
+        if (mode == fake_endpoint_mode::AbortMidStream && first == 0 && i == 2) {
             std::string half = fmt::format("id: {}\nda", i);
             co_await exchange.writePiece(half);
             exchange.abortStream();
             co_return;
         }
-        while (mode == runner_mode::StandStill && first == 0 && i == 2 && m_mode == runner_mode::StandStill) {
+        while (mode == fake_endpoint_mode::StallMidStream && first == 0 && i == 2 && m_mode == fake_endpoint_mode::StallMidStream) {
             pause.expires_after(milliseconds(10));
             co_await pause.async_wait(boost::asio::use_awaitable);
         }
--- a/Tests/Platform/platform_fleet.cpp
+++ b/Tests/Platform/platform_fleet.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-loopback_net::loopback_net()
+loopback_subnet::loopback_subnet()
     : m_acceptor(m_context)
 {
     for (int i = 0; i < nets; ++i) {
@@ -122,12 +122,12 @@
     return answer;
 }
 
-simple_answer platform_fleet::report(stand_in_runner& runner, const std::string& state, int control) const
+simple_answer platform_fleet::sendReport(fake_endpoint& runner, const std::string& state, int control) const
 {
     return call(controlAddress(control), "PUT", platform_names::endpointsPath + runner.id(), { { "Content-Type", "application/json" } }, runner.report(state), milliseconds(2000));
 }
 
-unsigned platform_fleet::submit(const std::string& body) const
+unsigned platform_fleet::submitConfiguration(const std::string& body) const
 {
     simple_answer answer;
     eventually([&] {
@@ -138,7 +138,7 @@
     return answer.status;
 }
 
-bool platform_fleet::entryReady(int n) const
+bool platform_fleet::isEntryReady(int n) const
 {
     return call(readyAddress(n), "GET", platform_names::readyPath, {}, {}, milliseconds(1000)).status == 200;
 }
--- a/Tests/Platform/platform_fleet.h
+++ b/Tests/Platform/platform_fleet.h
@@ -1,5 +1,5 @@
 #pragma once
-#include "Platform/stand_in_runner.h"
+#include "Platform/fake_endpoint.h"
 #include "Support/child_process.h"
 #include "Support/fleet.h"
 #include <map>
@@ -9,9 +9,9 @@
 
 /// A range of loopback addresses that no other test holds at the same time. Two tests whose process ids led to the same
 /// range took each other's ports; the range is reserved by a listening socket for as long as this lives.
-class loopback_net {
+class loopback_subnet {
 public:
-    loopback_net();
+    loopback_subnet();
     /// The first two numbers of its addresses.
     const std::string& prefix() const { return m_prefix; }
 
@@ -39,10 +39,10 @@
     simple_answer call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
         const std::string& body = {}, milliseconds timeout = milliseconds(20000)) const;
     /// Has an endpoint report itself to a control.
-    simple_answer report(stand_in_runner& runner, const std::string& state = "ready", int control = 1) const;
+    simple_answer sendReport(fake_endpoint& runner, const std::string& state = "ready", int control = 1) const;
     /// Submits a configuration, again until it is acknowledged. Returns the last status.
-    unsigned submit(const std::string& body) const;
-    bool entryReady(int n) const;
+    unsigned submitConfiguration(const std::string& body) const;
+    bool isEntryReady(int n) const;
 
     std::string controlAddress(int n) const { return controlIp(n) + ":8367"; }
     std::string entryAddress(int n) const { return entryIp(n) + ":8360"; }
@@ -62,7 +62,7 @@
 
     int m_controlCount;
     int m_entryCount;
-    loopback_net m_reserved;
+    loopback_subnet m_reserved;
     std::string m_net;
     std::string m_folder;
     std::map<int, child_process> m_controls;
--- a/Tests/Soak/soak_main.cpp
+++ b/Tests/Soak/soak_main.cpp
@@ -45,21 +45,21 @@
             for (int i = 0; i < 5; ++i) {
                 // Calls to endpoints go through a proxy; the endpoint itself listens beside it.
                 auto own = m_fleet.runnerAddress(100 + i);
-                m_runners.push_back(std::make_unique<stand_in_runner>(fmt::format("runner-{}", i), own, services[i], stages[i]));
+                m_runners.push_back(std::make_unique<fake_endpoint>(fmt::format("runner-{}", i), own, services[i], stages[i]));
                 m_proxy.forward(m_fleet.runnerAddress(1 + i), own);
-                m_runners.back()->announceAt(m_fleet.runnerAddress(1 + i));
+                m_runners.back()->setReportedAddress(m_fleet.runnerAddress(1 + i));
             }
         }
 
         int run(std::chrono::seconds length)
         {
             m_fleet.start();
-            if (m_fleet.submit(configurationOf(1, true)) != 200)
+            if (m_fleet.submitConfiguration(configurationOf(1, true)) != 200)
                 m_checks.fail("the first configuration was not accepted");
             m_checks.acknowledged(1);
             std::vector<std::thread> threads;
             threads.emplace_back([this] { reports(); });
-            eventually([&] { return m_fleet.entryReady(1) && m_fleet.entryReady(2); });
+            eventually([&] { return m_fleet.isEntryReady(1) && m_fleet.isEntryReady(2); });
             threads.emplace_back([this] { operate(); });
             for (int i = 0; i < 4; ++i)
                 threads.emplace_back([this, i] { call(i); });
@@ -143,11 +143,11 @@
                     m_fleet.startControl(n, false);
                 break;
             case 7: {
-                constexpr runner_mode modes[] = { runner_mode::RefuseUnrun, runner_mode::BreakUnanswered, runner_mode::BreakMidway, runner_mode::Unsealed, runner_mode::ServerError };
+                constexpr fake_endpoint_mode modes[] = { fake_endpoint_mode::RejectNotExecuted, fake_endpoint_mode::AbortBeforeResponse, fake_endpoint_mode::AbortMidStream, fake_endpoint_mode::OmitSeal, fake_endpoint_mode::ServerError };
                 auto& runner = *m_runners[static_cast<std::size_t>(pick(5)) - 1];
                 runner.setMode(modes[pick(5) - 1]);
                 pause(200, 1500);
-                runner.setMode(runner_mode::Good);
+                runner.setMode(fake_endpoint_mode::Normal);
                 break;
             }
             default: {
@@ -174,7 +174,7 @@
             for (int n = 1; n <= 5; ++n) {
                 auto address = m_fleet.runnerAddress(n);
                 m_proxy.setRule("", address.substr(0, address.rfind(':')), {});
-                m_runners[static_cast<std::size_t>(n) - 1]->setMode(runner_mode::Good);
+                m_runners[static_cast<std::size_t>(n) - 1]->setMode(fake_endpoint_mode::Normal);
             }
         }
 
@@ -183,7 +183,7 @@
             std::mt19937_64 random(m_seed + 1);
             while (!m_stop) {
                 for (auto& runner : m_runners)
-                    m_fleet.report(*runner, "ready", static_cast<int>(random() % controls) + 1);
+                    m_fleet.sendReport(*runner, "ready", static_cast<int>(random() % controls) + 1);
                 std::this_thread::sleep_for(reportInterval);
             }
         }
@@ -252,7 +252,7 @@
                 const char* path = random() % 2 ? "/report/x" : "/once/x";
                 answer = m_fleet.call(address, "POST", path, headers, "prompt", milliseconds(3000));
                 if (answer.status == 200 && !answer.broken)
-                    m_checks.streamEnded(id, answer.body, stand_in_runner::eventsOfStream);
+                    m_checks.streamEnded(id, answer.body, fake_endpoint::eventsPerStream);
                 break;
             }
             default:
@@ -268,7 +268,7 @@
         /// After the last fault everything must be served again, and the newest acknowledged change must be there.
         void settle()
         {
-            if (!eventually([&] { return m_fleet.entryReady(1) && m_fleet.entryReady(2); }, std::chrono::seconds(12)))
+            if (!eventually([&] { return m_fleet.isEntryReady(1) && m_fleet.isEntryReady(2); }, std::chrono::seconds(12)))
                 m_checks.fail("not every entry was ready again 12 s after the last fault");
             bool served = eventually([&] {
                 http_headers headers { { "Host", "h.example" }, { platform_names::requestId, "last" }, { platform_names::authorization, "Token key-1" } };
@@ -293,7 +293,7 @@
         {
             std::map<std::string, int> runs;
             for (const auto& runner : m_runners) {
-                for (const auto& [id, count] : runner->runs())
+                for (const auto& [id, count] : runner->runCounts())
                     runs[id] += count;
             }
             m_checks.compareRuns(runs);
@@ -311,7 +311,7 @@
         std::mt19937_64 m_random;
         platform_fleet m_fleet;
         fault_proxy m_proxy;
-        std::vector<std::unique_ptr<stand_in_runner>> m_runners;
+        std::vector<std::unique_ptr<fake_endpoint>> m_runners;
         soak_checks m_checks;
         std::atomic<bool> m_clientsStop { false };
         std::atomic<bool> m_stop { false };
