--- a/Tests/Platform/PoisonRequestTest.cpp
+++ b/Tests/Platform/PoisonRequestTest.cpp
@@ -9,29 +9,29 @@
 using namespace pistachiolatch::test;
 
 namespace {
-constexpr int entries = 7;
-constexpr int engines = 6;
+constexpr int entryCount = 7;
+constexpr int engineCount = 6;
 constexpr milliseconds reportInterval { 300 };
 
 /// Seven entries and six decode engines. Each engine is reported periodically until it crashes.
 class crashing_fleet {
 public:
-    platform_fleet platform { 3, entries };
+    platform_fleet platform { 3, entryCount };
 
     crashing_fleet()
     {
         platform.start();
         REQUIRE(platform.submitConfiguration(exampleConfiguration(7)) == 200);
-        for (int n = 1; n <= engines; ++n)
-            m_engines.push_back(std::make_unique<fake_endpoint>(fmt::format("decode-{}", n), platform.runnerAddress(n), "llm", "decode"));
+        for (int n = 1; n <= engineCount; ++n)
+            m_engines.push_back(std::make_unique<fake_endpoint>(fmt::format("decode-{}", n), platform.endpointAddress(n), "llm", "decode"));
         m_reporter = std::thread([this] {
             while (!m_stopped) {
                 reportAll();
                 std::this_thread::sleep_for(reportInterval);
             }
         });
-        for (int n = 1; n <= entries; ++n)
-            REQUIRE(eventually([&] { return platform.isEntryReady(n) && ask(n, "/report/x", "warm up").status == 200; }));
+        for (int n = 1; n <= entryCount; ++n)
+            REQUIRE(eventually([&] { return platform.isEntryReady(n) && sendRequest(n, "/report/x", "warm up").status == 200; }));
     }
 
     ~crashing_fleet()
@@ -40,14 +40,14 @@
         m_reporter.join();
     }
 
-    simple_answer ask(int entry, const std::string& path, const std::string& body)
+    simple_answer sendRequest(int entry, const std::string& path, const std::string& body)
     {
-        http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, fmt::format("id-{}", ++m_requests) },
+        http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, fmt::format("id-{}", ++m_requestCount) },
             { platform_names::tokenUsage, "500,432" }, { platform_names::deadlineMs, "5000" } };
         return platform.call(platform.entryAddress(entry), "POST", path, headers, body);
     }
 
-    int crashes()
+    int crashCount()
     {
         std::lock_guard lock(m_mutex);
         return m_crashesBefore + static_cast<int>(std::count_if(m_engines.begin(), m_engines.end(), [](const auto& engine) { return engine->crashed(); }));
@@ -65,7 +65,7 @@
             auto address = engine->address();
             engine.reset();
             engine = std::make_unique<fake_endpoint>(id, address, "llm", "decode");
-            engine->setBorn(fake_endpoint::firstBorn + m_crashesBefore);
+            engine->setStartTime(fake_endpoint::firstStartTime + m_crashesBefore);
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// The VM whose control process leads according to its log, or 0. Skips the VM whose process was killed, if given.
-    int leader(int killed = 0) const
+    int findLeader(int killed = 0) const
     {
         for (int n = 1; n <= platform.controls(); ++n) {
             if (n == killed)
@@ -106,12 +106,12 @@
     std::mutex m_mutex;
     std::vector<std::unique_ptr<fake_endpoint>> m_engines;
     std::atomic<bool> m_stopped { false };
-    std::atomic<int> m_requests { 0 };
+    std::atomic<int> m_requestCount { 0 };
     int m_crashesBefore = 0;
     std::thread m_reporter;
 };
 
-const std::string poison = "please CRASH-ENDPOINT now";
+const std::string poisonBody = "please CRASH-ENDPOINT now";
 }
 
 // Guards against entries that do not share crash reports, so that one request crashes further endpoints through each entry.
@@ -119,36 +119,36 @@
 {
     crashing_fleet fleet;
     std::string path = GENERATE("/report/x", "/once/x");
-    for (int entry = 1; entry <= entries; ++entry) {
-        auto answer = fleet.ask(entry, path, poison);
+    for (int entry = 1; entry <= entryCount; ++entry) {
+        auto answer = fleet.sendRequest(entry, path, poisonBody);
         INFO("entry " << entry << ": " << answer.status << " " << answer.body);
         bool refused = answer.status == 503 || answer.status == 422;
-        CHECK((refused || fleet.crashes() <= 2));
+        CHECK((refused || fleet.crashCount() <= 2));
         if (answer.status == 503)
             CHECK_FALSE(answer.header("Retry-After").empty());
     }
-    CHECK(fleet.crashes() == 2);
+    CHECK(fleet.crashCount() == 2);
     // A reused connection that was opened before a crash may still break once.
-    CHECK(eventually([&] { return fleet.ask(1, path, "a good request").status == 200; }, std::chrono::seconds(5)));
+    CHECK(eventually([&] { return fleet.sendRequest(1, path, "a good request").status == 200; }, std::chrono::seconds(5)));
 
     // Endpoints that restart under new names make the crashes certain, which turns 503 into 422.
     fleet.restartCrashed();
-    for (int entry = 1; entry <= entries; ++entry)
-        CHECK(eventually([&] { return fleet.ask(entry, path, poison).status == 422; }, std::chrono::seconds(10)));
-    CHECK(fleet.crashes() == 2);
+    for (int entry = 1; entry <= entryCount; ++entry)
+        CHECK(eventually([&] { return fleet.sendRequest(entry, path, poisonBody).status == 422; }, std::chrono::seconds(10)));
+    CHECK(fleet.crashCount() == 2);
 
     // Guards against losing the blocks when the leader changes.
-    auto leader = fleet.leader();
+    auto leader = fleet.findLeader();
     REQUIRE(leader > 0);
     fleet.platform.control(leader).kill();
-    for (int entry = 1; entry <= entries; ++entry)
-        CHECK(fleet.ask(entry, path, poison).status == 422);
-    CHECK(eventually([&] { return fleet.leader(leader) != 0; }));
+    for (int entry = 1; entry <= entryCount; ++entry)
+        CHECK(fleet.sendRequest(entry, path, poisonBody).status == 422);
+    CHECK(eventually([&] { return fleet.findLeader(leader) != 0; }));
     std::this_thread::sleep_for(std::chrono::seconds(2));
-    for (int entry = 1; entry <= entries; ++entry)
-        CHECK(fleet.ask(entry, path, poison).status == 422);
-    CHECK(fleet.crashes() == 2);
-    CHECK(eventually([&] { return fleet.ask(1, path, "a good request").status == 200; }));
+    for (int entry = 1; entry <= entryCount; ++entry)
+        CHECK(fleet.sendRequest(entry, path, poisonBody).status == 422);
+    CHECK(fleet.crashCount() == 2);
+    CHECK(eventually([&] { return fleet.sendRequest(1, path, "a good request").status == 200; }));
 }
 
 // Guards against refusing a request permanently when only connections broke while endpoints ran it.
@@ -157,7 +157,7 @@
     crashing_fleet fleet;
     fleet.setModes(fake_endpoint_mode::AbortMidStream);
     for (int entry = 1; entry <= 3; ++entry)
-        fleet.ask(entry, "/once/x", "the prompt");
+        fleet.sendRequest(entry, "/once/x", "the prompt");
     fleet.setModes(fake_endpoint_mode::Normal);
-    CHECK(eventually([&] { return fleet.ask(4, "/once/x", "the prompt").status == 200; }, std::chrono::seconds(10)));
+    CHECK(eventually([&] { return fleet.sendRequest(4, "/once/x", "the prompt").status == 200; }, std::chrono::seconds(10)));
 }
--- a/Tests/Platform/StorageFaultTest.cpp
+++ b/Tests/Platform/StorageFaultTest.cpp
@@ -8,43 +8,44 @@
 using namespace pistachiolatch::test;
 
 namespace {
-/// Several times as long as a supervisor leaves a process that ended before it starts it again.
-constexpr std::chrono::seconds longFault { 9 };
-constexpr std::chrono::milliseconds look { 100 };
-/// Within this time of the end of a fault a VM must do its part again.
-constexpr std::chrono::seconds recoveryBound { 12 };
+/// Several times the delay after which a supervisor restarts a process that exited.
+constexpr std::chrono::seconds faultDuration { 9 };
+constexpr std::chrono::milliseconds pollInterval { 100 };
+/// The time within which a VM must recover after a fault ends.
+constexpr std::chrono::seconds recoveryTimeout { 12 };
 
-/// Runs a fleet of three control processes through a fault, and checks all the while that none of them ends.
-class storage_fault {
+/// A fleet of three control processes and one endpoint for storage faults.
+class storage_fault_fleet {
 public:
-    storage_fault()
-        : app("app-1", fleet.runnerAddress(1), "app", "")
+    storage_fault_fleet()
+        : app("app-1", fleet.endpointAddress(1), "app", "")
     {
         fleet.start();
         REQUIRE(fleet.submitConfiguration(exampleConfiguration(7)) == 200);
         REQUIRE(fleet.sendReport(app).status == 200);
     }
 
-    /// Lets time pass while the app reports itself to one control process. Returns how many reports were confirmed.
-    int pass(std::chrono::seconds length, int control)
+    /// Sends the endpoint's reports to one control process for the given time, and checks that no control process exits.
+    /// Returns the number of confirmed reports.
+    int sendReportsFor(std::chrono::seconds duration, int control)
     {
         int confirmed = 0;
-        auto end = std::chrono::steady_clock::now() + length;
+        auto end = std::chrono::steady_clock::now() + duration;
         while (std::chrono::steady_clock::now() < end) {
             confirmed += fleet.sendReport(app, "ready", control).status == 200 ? 1 : 0;
             for (int n = 1; n <= fleet.controls(); ++n)
                 REQUIRE(fleet.control(n).running());
-            std::this_thread::sleep_for(look);
+            std::this_thread::sleep_for(pollInterval);
         }
         return confirmed;
     }
 
-    unsigned statusOfChange(std::uint64_t version, int control)
+    unsigned submitChange(std::uint64_t version, int control)
     {
         return fleet.call(fleet.controlAddress(control), "PUT", platform_names::configurationPath, { { "Content-Type", "application/json" } }, exampleConfiguration(version)).status;
     }
 
-    std::string configurationAt(int control)
+    std::string readConfiguration(int control)
     {
         return fleet.call(fleet.controlAddress(control), "GET", platform_names::configurationPath).body;
     }
@@ -54,68 +55,69 @@
 };
 }
 
-// Guards against a control process that ends and starts again, over and over, for as long as its disk is full.
-TEST_CASE("A control process whose disk is full runs on and does its part again once there is room")
+// Guards against a control process that exits and restarts repeatedly while its disk is full.
+TEST_CASE("A control process with a full disk keeps running and recovers when space is available")
 {
-    storage_fault fault;
+    storage_fault_fleet fault;
     auto& fleet = fault.fleet;
-    for (int full = 1; full <= 3; ++full) {
-        auto version = static_cast<std::uint64_t>(10 * full);
-        fleet.control(full).refuseWrites(true);
+    for (int faultyControl = 1; faultyControl <= 3; ++faultyControl) {
+        auto version = static_cast<std::uint64_t>(10 * faultyControl);
+        fleet.control(faultyControl).refuseWrites(true);
         REQUIRE(fleet.submitConfiguration(exampleConfiguration(version)) == 200);
-        fault.pass(std::chrono::seconds(2), full);
-        // It still passes on what it is told: reports of endpoints, changes and reads.
-        auto confirmed = fault.pass(longFault, full);
+        fault.sendReportsFor(std::chrono::seconds(2), faultyControl);
+        // It still forwards endpoints' reports, changes and reads to the leader.
+        auto confirmed = fault.sendReportsFor(faultDuration, faultyControl);
         CHECK(confirmed > 0);
-        CHECK(eventually([&] { return fault.statusOfChange(version + 1, full) == 200; }, recoveryBound));
-        CHECK(fault.configurationAt(full) == exampleConfiguration(version + 1));
-        fleet.control(full).refuseWrites(false);
-        // With another one gone a change needs its vote and its disk.
-        int other = full % 3 + 1;
+        CHECK(eventually([&] { return fault.submitChange(version + 1, faultyControl) == 200; }, recoveryTimeout));
+        CHECK(fault.readConfiguration(faultyControl) == exampleConfiguration(version + 1));
+        fleet.control(faultyControl).refuseWrites(false);
+        // With another process down, a change needs this process's vote and disk.
+        int other = faultyControl % 3 + 1;
         fleet.control(other).kill();
-        CHECK(eventually([&] { return fault.statusOfChange(version + 2, full) == 200; }, recoveryBound));
+        CHECK(eventually([&] { return fault.submitChange(version + 2, faultyControl) == 200; }, recoveryTimeout));
         fleet.startControl(other, false);
-        REQUIRE(eventually([&] { return fault.configurationAt(other) == exampleConfiguration(version + 2); }, recoveryBound));
+        REQUIRE(eventually([&] { return fault.readConfiguration(other) == exampleConfiguration(version + 2); }, recoveryTimeout));
     }
 }
 
-// Guards against a fleet that acknowledges what no disk holds, or does not recover, when all its disks are full at once.
-TEST_CASE("Nothing is acknowledged while all disks are full, and everything is served again afterwards")
+// Guards against a fleet that acknowledges changes that no disk has stored, or that does not recover, when all its disks are
+// full at once.
+TEST_CASE("No change is acknowledged while all disks are full, and the fleet recovers afterwards")
 {
-    storage_fault fault;
+    storage_fault_fleet fault;
     auto& fleet = fault.fleet;
     for (int n = 1; n <= 3; ++n)
         fleet.control(n).refuseWrites(true);
-    CHECK(fault.statusOfChange(8, 1) == 503);
-    fault.pass(longFault, 2);
+    CHECK(fault.submitChange(8, 1) == 503);
+    fault.sendReportsFor(faultDuration, 2);
     for (int n = 1; n <= 3; ++n)
-        CHECK(fault.statusOfChange(9, n) == 503);
+        CHECK(fault.submitChange(9, n) == 503);
     for (int n = 1; n <= 3; ++n)
         fleet.control(n).refuseWrites(false);
-    CHECK(eventually([&] { return fault.statusOfChange(10, 1) == 200; }, recoveryBound));
-    CHECK(eventually([&] { return fleet.sendReport(fault.app).status == 200 && fleet.isEntryReady(1); }, recoveryBound));
+    CHECK(eventually([&] { return fault.submitChange(10, 1) == 200; }, recoveryTimeout));
+    CHECK(eventually([&] { return fleet.sendReport(fault.app).status == 200 && fleet.isEntryReady(1); }, recoveryTimeout));
     for (int n = 1; n <= 3; ++n)
         fleet.control(n).kill();
     for (int n = 1; n <= 3; ++n)
         fleet.startControl(n, false);
-    CHECK(eventually([&] { return fault.configurationAt(2) == exampleConfiguration(10); }, recoveryBound));
+    CHECK(eventually([&] { return fault.readConfiguration(2) == exampleConfiguration(10); }, recoveryTimeout));
 }
 
-// Guards against a control process that ends at each start because its log is damaged.
-TEST_CASE("A control process with a damaged log runs on, says so, and joins as a new replica once its folder is empty")
+// Guards against a control process that exits at each start because its log is damaged.
+TEST_CASE("A control process with a damaged log keeps running, logs the damage, and joins as a new replica once its folder is empty")
 {
-    storage_fault fault;
+    storage_fault_fleet fault;
     auto& fleet = fault.fleet;
     fleet.control(3).kill();
     std::ofstream(fleet.folder() + "/control-3/hard_state", std::ios::binary) << "damaged";
     fleet.startControl(3, false);
-    fault.pass(longFault, 3);
+    fault.sendReportsFor(faultDuration, 3);
     CHECK(readFile(fleet.folder() + "/control-3.out").find("hard_state: damaged; empty the data folder") != std::string::npos);
     REQUIRE(fleet.submitConfiguration(exampleConfiguration(8)) == 200);
-    fleet.wipeControl(3);
-    // With another one gone a change needs the vote of the new replica.
-    CHECK(eventually([&] { return readFile(fleet.folder() + "/control-3.out").find("event=replica_opened") != std::string::npos; }, recoveryBound));
-    fault.pass(std::chrono::seconds(2), 3);
+    fleet.eraseControlData(3);
+    // With another process down, a change needs the new replica's vote.
+    CHECK(eventually([&] { return readFile(fleet.folder() + "/control-3.out").find("event=replica_opened") != std::string::npos; }, recoveryTimeout));
+    fault.sendReportsFor(std::chrono::seconds(2), 3);
     fleet.control(1).kill();
-    CHECK(eventually([&] { return fault.statusOfChange(9, 3) == 200; }, recoveryBound));
+    CHECK(eventually([&] { return fault.submitChange(9, 3) == 200; }, recoveryTimeout));
 }
--- a/Tests/Platform/StreamEndTest.cpp
+++ b/Tests/Platform/StreamEndTest.cpp
@@ -16,7 +16,7 @@
     fake_endpoint decode;
 
     single_engine_fleet()
-        : decode("decode-1", platform.runnerAddress(4), "llm", "decode")
+        : decode("decode-1", platform.endpointAddress(4), "llm", "decode")
     {
         platform.start();
         REQUIRE(platform.submitConfiguration(exampleConfiguration(7)) == 200);
@@ -24,7 +24,7 @@
         REQUIRE(eventually([&] { return platform.isEntryReady(1); }));
     }
 
-    simple_answer stream(const std::string& path, const std::string& id, milliseconds deadline = milliseconds(6000)) const
+    simple_answer sendStreamRequest(const std::string& path, const std::string& id, milliseconds deadline = milliseconds(6000)) const
     {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, id },
             { platform_names::tokenUsage, "500,432" }, { platform_names::deadlineMs, std::to_string(deadline.count()) } };
@@ -35,18 +35,18 @@
     std::string logLines(const std::string& event, const std::string& id) const
     {
         std::istringstream log(readFile(platform.folder() + "/entry-1.out"));
-        std::string found;
+        std::string matches;
         for (std::string line; std::getline(log, line);) {
             if (line.find("event=" + event + " ") != std::string::npos && line.find("request=" + id + " ") != std::string::npos)
-                found += line + "\n";
+                matches += line + "\n";
         }
-        return found;
+        return matches;
     }
 
     /// Waits for an answer_cut line with this reason.
-    bool logsCutReason(const std::string& id, const std::string& why) const
+    bool logsCutReason(const std::string& id, const std::string& cutReason) const
     {
-        return eventually([&] { return logLines("answer_cut", id).find(" why=" + why + " ") != std::string::npos; }, std::chrono::seconds(5));
+        return eventually([&] { return logLines("answer_cut", id).find(" why=" + cutReason + " ") != std::string::npos; }, std::chrono::seconds(5));
     }
 };
 }
@@ -58,7 +58,7 @@
     std::string path = GENERATE("/report/x", "/once/x");
     fleet.decode.setMode(fake_endpoint_mode::StallMidStream);
     simple_answer answer;
-    std::thread caller([&] { answer = fleet.stream(path, "one"); });
+    std::thread caller([&] { answer = fleet.sendStreamRequest(path, "one"); });
     CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
     for (std::uint64_t version = 8; version <= 11; ++version) {
         std::this_thread::sleep_for(milliseconds(450));
@@ -81,15 +81,15 @@
     SECTION("its engine fails and the call must not run twice")
     {
         fleet.decode.setMode(fake_endpoint_mode::AbortMidStream);
-        CHECK(fleet.stream("/once/x", "one").broken);
+        CHECK(fleet.sendStreamRequest("/once/x", "one").broken);
         CHECK(fleet.logsCutReason("one", "not_idempotent"));
     }
     SECTION("its engine fails and no other has capacity")
     {
         fleet.decode.setMode(fake_endpoint_mode::AbortMidStream);
-        fleet.decode.setPace(milliseconds(300));
+        fleet.decode.setDelay(milliseconds(300));
         simple_answer answer;
-        std::thread caller([&] { answer = fleet.stream("/report/x", "one"); });
+        std::thread caller([&] { answer = fleet.sendStreamRequest("/report/x", "one"); });
         CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
         CHECK(fleet.platform.sendReport(fleet.decode, "draining").status == 200);
         caller.join();
@@ -99,7 +99,7 @@
     SECTION("the caller's deadline passes")
     {
         fleet.decode.setMode(fake_endpoint_mode::StallMidStream);
-        CHECK(fleet.stream("/report/x", "one", milliseconds(1200)).broken);
+        CHECK(fleet.sendStreamRequest("/report/x", "one", milliseconds(1200)).broken);
         CHECK(fleet.logsCutReason("one", "deadline"));
         CHECK(fleet.logLines("answer_cut", "one").find(" deadline_ms=1200 ") != std::string::npos);
     }
@@ -109,9 +109,9 @@
         auto longTimeoutConfiguration = std::regex_replace(exampleConfiguration(8), std::regex(R"("timeoutMs":6000)"), R"("timeoutMs":60000)");
         REQUIRE(fleet.platform.submitConfiguration(longTimeoutConfiguration) == 200);
         REQUIRE(eventually([&] { return readFile(fleet.platform.folder() + "/entry-1.out").find("event=configuration_applied version=8 ") != std::string::npos; }));
-        fleet.decode.setPace(milliseconds(2500));
+        fleet.decode.setDelay(milliseconds(2500));
         simple_answer answer;
-        std::thread caller([&] { answer = fleet.stream("/once/x", "one", milliseconds(60000)); });
+        std::thread caller([&] { answer = fleet.sendStreamRequest("/once/x", "one", milliseconds(60000)); });
         CHECK(eventually([&] { return !fleet.decode.runCounts().empty(); }));
         fleet.platform.entry(1).signal(SIGTERM);
         caller.join();
--- a/Tests/Platform/fake_endpoint.cpp
+++ b/Tests/Platform/fake_endpoint.cpp
@@ -9,25 +9,25 @@
 namespace names = platform_names;
 
 namespace {
-    std::uint64_t resumeFrom(const http_exchange& exchange)
+    std::uint64_t firstEventToSend(const http_exchange& exchange)
     {
-        auto last = exchange.header(names::lastEventId);
-        return last.empty() ? 0 : std::stoull(last) + 1;
+        auto lastEventId = exchange.header(names::lastEventId);
+        return lastEventId.empty() ? 0 : std::stoull(lastEventId) + 1;
     }
 }
 
 fake_endpoint::fake_endpoint(std::string id, const std::string& address, std::string service, std::string stage)
     : m_id(std::move(id))
     , m_address(address)
-    , m_announced(address)
+    , m_reportedAddress(address)
     , m_service(std::move(service))
     , m_stage(std::move(stage))
     , m_server(
           m_threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_refusal { httpStatus(why), "", "", {} }; })
 {
-    auto listening = m_server.listen(address);
-    if (!listening)
-        throw std::runtime_error(listening.error().message);
+    auto listened = m_server.listen(address);
+    if (!listened)
+        throw std::runtime_error(listened.error().message);
     m_threads.start();
 }
 
@@ -36,45 +36,45 @@
     m_threads.stop();
 }
 
-std::string fake_endpoint::report(const std::string& state)
+std::string fake_endpoint::makeReport(const std::string& state)
 {
-    boost::json::object body { { "service", m_service }, { "address", m_announced }, { "zone", "a" }, { "version", "v1" }, { "slots", 4 }, { "state", state },
-        { "coldRemainingMs", 0 }, { "born", m_born.load() }, { "sequence", ++m_sequence } };
+    boost::json::object body { { "service", m_service }, { "address", m_reportedAddress }, { "zone", "a" }, { "version", "v1" }, { "slots", 4 }, { "state", state },
+        { "coldRemainingMs", 0 }, { "born", m_startTime.load() }, { "sequence", ++m_sequence } };
     if (!m_stage.empty())
         body["stage"] = m_stage;
     return boost::json::serialize(body);
 }
 
-std::vector<std::string> fake_endpoint::takeSeen()
+std::vector<std::string> fake_endpoint::takeRequestLog()
 {
     std::lock_guard lock(m_mutex);
-    return std::exchange(m_seen, {});
+    return std::exchange(m_requestLog, {});
 }
 
 std::map<std::string, int> fake_endpoint::runCounts() const
 {
     std::lock_guard lock(m_mutex);
-    return m_runs;
+    return m_runCounts;
 }
 
-void fake_endpoint::note(const http_exchange& exchange)
+void fake_endpoint::recordRequest(const http_exchange& exchange)
 {
     auto line = fmt::format("{} {} {}", m_id, exchange.method(), std::string(exchange.message().target()));
-    for (const auto* name : { names::requestId, names::organisation, names::expectEndpoint, names::part, names::kvSource, names::lastEventId, names::authorization }) {
+    for (const auto* name : { names::requestId, names::organisation, names::expectEndpoint, names::servingStage, names::kvSource, names::lastEventId, names::authorization }) {
         auto value = exchange.header(name);
         if (!value.empty())
             line += fmt::format(" | {}: {}", name, value);
     }
     line += fmt::format(" | {} bytes", exchange.message().body().size());
     std::lock_guard lock(m_mutex);
-    m_seen.push_back(line);
-    if (exchange.header(names::part).empty())
-        ++m_runs[exchange.header(names::requestId)];
+    m_requestLog.push_back(line);
+    if (exchange.header(names::servingStage).empty())
+        ++m_runCounts[exchange.header(names::requestId)];
 }
 
 task_of<void> fake_endpoint::handle(http_exchange& exchange)
 {
-    if (exchange.message().body().find(crashMark) != std::string::npos && !m_crashed.exchange(true))
+    if (exchange.message().body().find(crashMarker) != std::string::npos && !m_crashed.exchange(true))
         m_server.stopAccepting();
     if (m_crashed) {
         exchange.abortStream();
@@ -92,41 +92,41 @@
         co_await exchange.respond(503, "", "", headers);
         co_return;
     }
-    note(exchange);
+    recordRequest(exchange);
     if (mode == fake_endpoint_mode::AbortBeforeResponse) {
         exchange.abortStream();
         co_return;
     }
-    boost::asio::steady_timer pause(co_await boost::asio::this_coro::executor, m_pace.load());
+    boost::asio::steady_timer pause(co_await boost::asio::this_coro::executor, m_delay.load());
     co_await pause.async_wait(boost::asio::use_awaitable);
-    if (exchange.header(names::part) == "prefill") {
+    if (exchange.header(names::servingStage) == "prefill") {
         std::string body = R"({"kvHandle":"handle-1","tokens":10,"version":1})";
         co_await exchange.respond(200, "application/json", body, headers);
         co_return;
     }
     if (mode != fake_endpoint_mode::OmitSeal)
-        headers.emplace_back(names::seal, "seal-of-" + m_id);
+        headers.emplace_back(names::responseSeal, "seal-of-" + m_id);
     if (mode == fake_endpoint_mode::ServerError) {
         co_await exchange.respond(500, "text/plain", "broken", headers);
         co_return;
     }
     if (m_stage == "decode") {
-        co_await stream(exchange, headers, mode);
+        co_await sendStream(exchange, headers, mode);
         co_return;
     }
     co_await exchange.respond(200, "text/plain", "answer to " + id, headers);
 }
 
-task_of<void> fake_endpoint::stream(http_exchange& exchange, const http_headers& headers, fake_endpoint_mode mode)
+task_of<void> fake_endpoint::sendStream(http_exchange& exchange, const http_headers& headers, fake_endpoint_mode mode)
 {
     if (!co_await exchange.beginStream(200, "text/event-stream", headers))
         co_return;
     boost::asio::steady_timer pause(co_await boost::asio::this_coro::executor);
-    auto first = resumeFrom(exchange);
+    auto first = firstEventToSend(exchange);
     for (auto i = first; i < eventsPerStream; ++i) {
         if (mode == fake_endpoint_mode::AbortMidStream && first == 0 && i == 2) {
-            std::string half = fmt::format("id: {}\nda", i);
-            co_await exchange.writePiece(half);
+            std::string partialEvent = fmt::format("id: {}\nda", i);
+            co_await exchange.writePiece(partialEvent);
             exchange.abortStream();
             co_return;
         }
@@ -138,7 +138,7 @@
         bool written = co_await exchange.writePiece(event);
         if (!written)
             co_return;
-        pause.expires_after(m_pace.load());
+        pause.expires_after(m_delay.load());
         co_await pause.async_wait(boost::asio::use_awaitable);
     }
     co_await exchange.endStream();
--- a/Tests/Platform/platform_fleet.cpp
+++ b/Tests/Platform/platform_fleet.cpp
@@ -11,27 +11,27 @@
 
 namespace {
     namespace json = boost::json;
-    constexpr int firstNet = 80;
-    constexpr int nets = 100;
+    constexpr int firstSubnet = 80;
+    constexpr int subnetCount = 100;
 
-    json::object boundsOf()
+    json::object makeBounds()
     {
         return { { "revokeMs", 5000 }, { "graceS", 8 }, { "retryBudgetRatio", 0.2 }, { "retryBudgetSlack", 54 }, { "budgetWindowS", 10 }, { "quotaSlack", 20000 },
             { "quotaOvershoot", 0.1 }, { "quotaWindowS", 8 } };
     }
 
-    json::object routeOf(const std::string& name, const std::string& kind, const std::string& service, int attempts, bool resumable)
+    json::object makeRoute(const std::string& name, const std::string& kind, const std::string& service, int maxAttempts, bool resumable)
     {
         return { { "name", name }, { "host", "h.example" }, { "pathPrefix", "/" + name + "/" }, { "routeType", kind }, { "timeoutMs", 6000 }, { "targetLatencyMs", 900 },
-            { "priority", 1 }, { "service", service }, { "maxAttempts", attempts }, { "public", false }, { "resumable", resumable }, { "gapTargetMs", 300 } };
+            { "priority", 1 }, { "service", service }, { "maxAttempts", maxAttempts }, { "public", false }, { "resumable", resumable }, { "gapTargetMs", 300 } };
     }
 }
 
 loopback_subnet::loopback_subnet()
     : m_acceptor(m_context)
 {
-    for (int i = 0; i < nets; ++i) {
-        m_prefix = fmt::format("127.{}", firstNet + (::getpid() + i) % nets);
+    for (int i = 0; i < subnetCount; ++i) {
+        m_prefix = fmt::format("127.{}", firstSubnet + (::getpid() + i) % subnetCount);
         boost::system::error_code error;
         m_acceptor.open(boost::asio::ip::tcp::v4(), error);
         m_acceptor.bind(parseAddress(m_prefix + ".0.1:7499"), error);
@@ -41,14 +41,14 @@
             return;
         m_acceptor.close(error);
     }
-    throw std::runtime_error("every loopback net of the tests is in use");
+    throw std::runtime_error("all loopback subnets of the tests are in use");
 }
 
 platform_fleet::platform_fleet(int controls, int entries)
     : m_controlCount(controls)
     , m_entryCount(entries)
-    , m_net(m_reserved.prefix())
-    , m_folder(fmt::format("{}/platform-fleet-{}", std::filesystem::temp_directory_path().string(), m_net))
+    , m_subnet(m_reservedSubnet.prefix())
+    , m_folder(fmt::format("{}/platform-fleet-{}", std::filesystem::temp_directory_path().string(), m_subnet))
 {
     std::filesystem::remove_all(m_folder);
     std::filesystem::create_directories(m_folder);
@@ -62,14 +62,14 @@
         std::filesystem::remove_all(m_folder);
 }
 
-std::string platform_fleet::settings(const std::string& role, const std::string& ip, int n, bool firstStart) const
+std::string platform_fleet::writeSettings(const std::string& role, const std::string& ip, int n, bool firstStart) const
 {
     auto name = fmt::format("{}-{}", role, n);
     json::array seeds;
     for (int i = 1; i <= std::min(3, m_controlCount); ++i)
         seeds.emplace_back(controlAddress(i));
     json::object fields { { "nodeName", name }, { "ip", ip }, { "zone", "a" }, { "seeds", seeds }, { "bootstrap", firstStart }, { "heartbeatMs", 1200 },
-        { "internalPorts", json::array { 7500, 7515 } }, { "bounds", boundsOf() }, { "dataDir", m_folder + "/" + name } };
+        { "internalPorts", json::array { 7500, 7515 } }, { "bounds", makeBounds() }, { "dataDir", m_folder + "/" + name } };
     fields["listen"] = json::object { { "front", ip + ":8360" }, { "readyAddress", ip + ":8365" }, { "control", ip + ":8367" } };
     auto path = fmt::format("{}/{}.toml", m_folder, name);
     std::ofstream(path) << renderTemplate(readFile(fmt::format("{}/../platform/{}.settings", PISTACHIOLATCH_TESTS_FOLDER, role)), fields);
@@ -79,13 +79,13 @@
 void platform_fleet::startControl(int n, bool firstStart)
 {
     std::filesystem::create_directories(fmt::format("{}/control-{}", m_folder, n));
-    auto path = settings("control", controlIp(n), n, firstStart);
+    auto path = writeSettings("control", controlIp(n), n, firstStart);
     m_controls[n] = child_process(PISTACHIOLATCH_BUILD_FOLDER "/pistachiolatch-platform-control", { "--settings", path }, fmt::format("{}/control-{}", m_folder, n));
 }
 
 void platform_fleet::startEntry(int n)
 {
-    auto path = settings("entry", entryIp(n), n, false);
+    auto path = writeSettings("entry", entryIp(n), n, false);
     m_entries[n] = child_process(PISTACHIOLATCH_BUILD_FOLDER "/pistachiolatch-platform-entry", { "--settings", path }, fmt::format("{}/entry-{}", m_folder, n));
 }
 
@@ -97,7 +97,7 @@
         startEntry(n);
 }
 
-void platform_fleet::wipeControl(int n) const
+void platform_fleet::eraseControlData(int n) const
 {
     auto folder = fmt::format("{}/control-{}", m_folder, n);
     std::filesystem::remove_all(folder);
@@ -109,22 +109,22 @@
 {
     boost::asio::io_context context;
     simple_answer answer;
-    auto work = [&]() -> task_of<void> {
+    auto fetch = [&]() -> task_of<void> {
         http_call call { method, target, headers, body };
-        auto got = co_await http_client::fetch(address, call, milliseconds(1000), timeout);
-        answer.status = got.status;
-        answer.body = got.body;
-        answer.headers = got.headers;
-        answer.broken = got.failed != call_failure::None;
+        auto response = co_await http_client::fetch(address, call, milliseconds(1000), timeout);
+        answer.status = response.status;
+        answer.body = response.body;
+        answer.headers = response.headers;
+        answer.broken = response.failed != call_failure::None;
     };
-    boost::asio::co_spawn(context, work, boost::asio::detached);
+    boost::asio::co_spawn(context, fetch, boost::asio::detached);
     context.run();
     return answer;
 }
 
-simple_answer platform_fleet::sendReport(fake_endpoint& runner, const std::string& state, int control) const
+simple_answer platform_fleet::sendReport(fake_endpoint& endpoint, const std::string& state, int control) const
 {
-    return call(controlAddress(control), "PUT", platform_names::endpointsPath + runner.id(), { { "Content-Type", "application/json" } }, runner.report(state), milliseconds(2000));
+    return call(controlAddress(control), "PUT", platform_names::endpointsPath + endpoint.id(), { { "Content-Type", "application/json" } }, endpoint.makeReport(state), milliseconds(2000));
 }
 
 unsigned platform_fleet::submitConfiguration(const std::string& body) const
@@ -147,8 +147,8 @@
 {
     json::object engine { { "slots", 8 }, { "kvCapacityTokens", 74000 }, { "handleTtlS", 0.5 }, { "stride", 72 } };
     json::array services { json::object { { "name", "app" }, { "maxConnections", 50 } }, json::object { { "name", "llm" }, { "maxConnections", 50 }, { "engine", engine } } };
-    json::array routes { routeOf("read", "safe", "app", 2, false), routeOf("book", "unsafe", "app", 2, false), routeOf("once", "streaming", "llm", 1, false),
-        routeOf("report", "streaming", "llm", 2, true) };
+    json::array routes { makeRoute("read", "safe", "app", 2, false), makeRoute("book", "unsafe", "app", 2, false), makeRoute("once", "streaming", "llm", 1, false),
+        makeRoute("report", "streaming", "llm", 2, true) };
     json::object limits { { "maxHeaderBytes", 16384 }, { "maxBodyBytes", 100000 }, { "headerTimeoutMs", 3000 }, { "idleTimeoutMs", 15000 } };
     json::array organisations { json::object { { "name", "org-1" }, { "apiKeys", json::array { "key-1" } }, { "unit", "tokens" }, { "plainTokens", 200 }, { "ratePerS", ratePerS }, { "burst", ratePerS } } };
     return json::serialize(json::object { { "version", version }, { "routes", routes }, { "services", services }, { "limits", limits }, { "tenants", organisations } });
--- a/Tests/Platform/platform_fleet.h
+++ b/Tests/Platform/platform_fleet.h
@@ -7,12 +7,12 @@
 
 namespace pistachiolatch::test {
 
-/// A range of loopback addresses that no other test holds at the same time. Two tests whose process ids led to the same
-/// range took each other's ports; the range is reserved by a listening socket for as long as this lives.
+/// A range of loopback addresses reserved for this test by a listening socket. Without the reservation, two concurrent
+/// tests whose process IDs map to the same range would use the same ports.
 class loopback_subnet {
 public:
     loopback_subnet();
-    /// The first two numbers of its addresses.
+    /// The first two octets of the addresses.
     const std::string& prefix() const { return m_prefix; }
 
 private:
@@ -21,8 +21,8 @@
     std::string m_prefix;
 };
 
-/// The programs that run on the users' platform, as real processes on loopback addresses of their own, with settings
-/// filled into the templates that are deployed.
+/// Runs the programs of the users' platform as real processes on loopback addresses, with settings rendered from the
+/// deployed templates.
 class platform_fleet {
 public:
     explicit platform_fleet(int controls = 3, int entries = 1);
@@ -33,24 +33,24 @@
     void start();
     void startControl(int n, bool firstStart);
     void startEntry(int n);
-    /// Empties a control's data folder. Precondition: it does not run.
-    void wipeControl(int n) const;
-    /// One whole exchange; broken when no whole answer came.
+    /// Deletes the data of a control process. Precondition: it is not running.
+    void eraseControlData(int n) const;
+    /// Sends a request and reads the response, which is marked as broken if it is incomplete.
     simple_answer call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
         const std::string& body = {}, milliseconds timeout = milliseconds(20000)) const;
-    /// Has an endpoint report itself to a control.
-    simple_answer sendReport(fake_endpoint& runner, const std::string& state = "ready", int control = 1) const;
-    /// Submits a configuration, again until it is acknowledged. Returns the last status.
+    /// Sends an endpoint's status report to a control process.
+    simple_answer sendReport(fake_endpoint& endpoint, const std::string& state = "ready", int control = 1) const;
+    /// Submits a configuration, with retries until it is acknowledged or rejected. Returns the last status.
     unsigned submitConfiguration(const std::string& body) const;
     bool isEntryReady(int n) const;
 
     std::string controlAddress(int n) const { return controlIp(n) + ":8367"; }
     std::string entryAddress(int n) const { return entryIp(n) + ":8360"; }
     std::string readyAddress(int n) const { return entryIp(n) + ":8365"; }
-    std::string metricsOf(const std::string& ip) const { return call(ip + ":9464", "GET", "/metrics").body; }
-    std::string controlIp(int n) const { return m_net + ".1." + std::to_string(n); }
-    std::string entryIp(int n) const { return m_net + ".2." + std::to_string(n); }
-    std::string runnerAddress(int n) const { return m_net + ".3." + std::to_string(n) + ":8080"; }
+    std::string fetchMetrics(const std::string& ip) const { return call(ip + ":9464", "GET", "/metrics").body; }
+    std::string controlIp(int n) const { return m_subnet + ".1." + std::to_string(n); }
+    std::string entryIp(int n) const { return m_subnet + ".2." + std::to_string(n); }
+    std::string endpointAddress(int n) const { return m_subnet + ".3." + std::to_string(n) + ":8080"; }
     child_process& control(int n) { return m_controls[n]; }
     child_process& entry(int n) { return m_entries[n]; }
     int controls() const { return m_controlCount; }
@@ -58,19 +58,19 @@
     const std::string& folder() const { return m_folder; }
 
 private:
-    std::string settings(const std::string& role, const std::string& ip, int n, bool firstStart) const;
+    std::string writeSettings(const std::string& role, const std::string& ip, int n, bool firstStart) const;
 
     int m_controlCount;
     int m_entryCount;
-    loopback_subnet m_reserved;
-    std::string m_net;
+    loopback_subnet m_reservedSubnet;
+    std::string m_subnet;
     std::string m_folder;
     std::map<int, child_process> m_controls;
     std::map<int, child_process> m_entries;
 };
 
-/// A configuration with a plain service ("app") and a model service ("llm"), an organisation with key "key-1", and
-/// routes: /read/ may be repeated, /book/ runs once, /once/ streams once, /report/ streams and may be resumed.
+/// A configuration with a plain service ("app"), a model service ("llm"), an organisation with key "key-1", and routes:
+/// /read/ is idempotent, /book/ is not, /once/ is a stream that must not be resumed, /report/ is a resumable stream.
 std::string exampleConfiguration(std::uint64_t version, std::uint64_t ratePerS = 100000);
 
 } // namespace pistachiolatch::test
--- a/Tests/Platform/template_renderer.cpp
+++ b/Tests/Platform/template_renderer.cpp
@@ -9,24 +9,24 @@
 
     const json::value* find(const json::value& fields, const std::string& path)
     {
-        const auto* at = &fields;
+        const auto* value = &fields;
         for (std::size_t begin = 0; begin <= path.size();) {
             auto end = std::min(path.find('.', begin), path.size());
             auto name = path.substr(begin, end - begin);
-            if (const auto* object = at->if_object())
-                at = object->if_contains(name);
-            else if (const auto* list = at->if_array())
-                at = std::stoul(name) < list->size() ? &(*list)[std::stoul(name)] : nullptr;
+            if (const auto* object = value->if_object())
+                value = object->if_contains(name);
+            else if (const auto* list = value->if_array())
+                value = std::stoul(name) < list->size() ? &(*list)[std::stoul(name)] : nullptr;
             else
-                at = nullptr;
-            if (!at || at->is_null())
+                value = nullptr;
+            if (!value || value->is_null())
                 return nullptr;
             begin = end + 1;
         }
-        return at;
+        return value;
     }
 
-    std::string plain(const json::value* value)
+    std::string toText(const json::value* value)
     {
         if (!value)
             return {};
@@ -53,28 +53,28 @@
     std::string render(const std::string& text, const json::value& fields, const json::value* current, bool isLast)
     {
         std::string out;
-        std::size_t at = 0;
+        std::size_t position = 0;
         while (true) {
-            auto open = text.find("{{", at);
+            auto open = text.find("{{", position);
             if (open == std::string::npos)
-                return out + text.substr(at);
-            out += text.substr(at, open - at);
+                return out + text.substr(position);
+            out += text.substr(position, open - position);
             auto close = text.find("}}", open);
             auto name = text.substr(open + 2, close - open - 2);
-            at = close + 2;
+            position = close + 2;
             if (name == ".") {
-                out += plain(current);
+                out += toText(current);
             } else if (name == ",") {
                 out += isLast ? "" : ",";
             } else if (name[0] == '#') {
-                auto end = "{{/" + name.substr(1) + "}}";
-                auto stop = text.find(end, at);
-                if (stop == std::string::npos)
-                    throw std::invalid_argument("section without an end: " + name);
-                out += renderSection(text.substr(at, stop - at), fields, find(fields, name.substr(1)));
-                at = stop + end.size();
+                auto endTag = "{{/" + name.substr(1) + "}}";
+                auto sectionEnd = text.find(endTag, position);
+                if (sectionEnd == std::string::npos)
+                    throw std::invalid_argument("section without end: " + name);
+                out += renderSection(text.substr(position, sectionEnd - position), fields, find(fields, name.substr(1)));
+                position = sectionEnd + endTag.size();
             } else {
-                out += plain(find(fields, name));
+                out += toText(find(fields, name));
             }
         }
     }
--- a/Tests/Platform/template_renderer.h
+++ b/Tests/Platform/template_renderer.h
@@ -4,8 +4,8 @@
 
 namespace pistachiolatch::test {
 
-/// Fills a settings template as the users' platform does: {{a.b}}, {{a.0}}, and sections {{#a}}..{{/a}} with {{.}} and
-/// {{,}} inside. What it does not know fails the test that uses it.
+/// Renders a settings template as the users' platform does: {{a.b}}, {{a.0}}, and sections {{#a}}..{{/a}} that may contain
+/// {{.}} and {{,}}. Unknown fields render as empty text. Throws if a section has no end.
 std::string renderTemplate(const std::string& text, const boost::json::value& fields);
 
 } // namespace pistachiolatch::test
--- a/Tests/Soak/soak_main.cpp
+++ b/Tests/Soak/soak_main.cpp
@@ -44,10 +44,10 @@
             const char* stages[] = { "", "", "prefill", "decode", "decode" };
             for (int i = 0; i < 5; ++i) {
                 // Calls to endpoints go through a proxy; the endpoint itself listens beside it.
-                auto own = m_fleet.runnerAddress(100 + i);
+                auto own = m_fleet.endpointAddress(100 + i);
                 m_runners.push_back(std::make_unique<fake_endpoint>(fmt::format("runner-{}", i), own, services[i], stages[i]));
-                m_proxy.forward(m_fleet.runnerAddress(1 + i), own);
-                m_runners.back()->setReportedAddress(m_fleet.runnerAddress(1 + i));
+                m_proxy.forward(m_fleet.endpointAddress(1 + i), own);
+                m_runners.back()->setReportedAddress(m_fleet.endpointAddress(1 + i));
             }
         }
 
@@ -151,7 +151,7 @@
                 break;
             }
             default: {
-                auto address = m_fleet.runnerAddress(pick(5));
+                auto address = m_fleet.endpointAddress(pick(5));
                 auto ip = address.substr(0, address.rfind(':'));
                 link_rule rule;
                 auto kind = pick(4);
@@ -172,7 +172,7 @@
         void heal()
         {
             for (int n = 1; n <= 5; ++n) {
-                auto address = m_fleet.runnerAddress(n);
+                auto address = m_fleet.endpointAddress(n);
                 m_proxy.setRule("", address.substr(0, address.rfind(':')), {});
                 m_runners[static_cast<std::size_t>(n) - 1]->setMode(fake_endpoint_mode::Normal);
             }
