--- /dev/null
+++ b/Tests/Platform/fake_endpoint.h
@@ -0,0 +1,78 @@
+#pragma once
+#include "http/http.h"
+#include <atomic>
+#include <map>
+#include <mutex>
+#include <string>
+#include <vector>
+
+namespace pistachiolatch::test {
+
+/// How a fake endpoint handles requests.
+enum class fake_endpoint_mode {
+    Normal,
+    /// Responds that it has not executed the request.
+    RejectNotExecuted,
+    /// Executes the request and aborts the connection without a response.
+    AbortBeforeResponse,
+    /// Aborts the connection in the middle of a stream, unless the request resumes a stream.
+    AbortMidStream,
+    /// Stalls in the middle of a stream until the mode changes, unless the request resumes a stream.
+    StallMidStream,
+    /// Responds without the seal header.
+    OmitSeal,
+    ServerError,
+};
+
+/// Simulates an endpoint of the users' platform: a plain service, or a model engine of one stage.
+class fake_endpoint {
+public:
+    /// The stage is "prefill", "decode", or empty for a plain service.
+    fake_endpoint(std::string id, const std::string& address, std::string service, std::string stage);
+    ~fake_endpoint();
+
+    /// Sets the address stated in its reports, such as that of a proxy in front of it.
+    void setReportedAddress(const std::string& address) { m_reportedAddress = address; }
+    void setMode(fake_endpoint_mode mode) { m_mode = mode; }
+    /// Sets the duration of a plain request and of each stream event.
+    void setDelay(milliseconds delay) { m_delay = delay; }
+    /// The body of its next status report.
+    std::string makeReport(const std::string& state);
+    /// Returns the executed requests, one line each, and clears the log.
+    std::vector<std::string> takeRequestLog();
+    /// The number of executions by request ID.
+    std::map<std::string, int> runCounts() const;
+    const std::string& id() const { return m_id; }
+    const std::string& address() const { return m_address; }
+    static constexpr int eventsPerStream = 6;
+    /// A request whose body contains this simulates a crash: the endpoint stops accepting connections and aborts this and all
+    /// later requests.
+    static constexpr std::string_view crashMarker = "CRASH-ENDPOINT";
+    bool crashed() const { return m_crashed; }
+    static constexpr std::uint64_t firstStartTime = 1700000000000;
+    /// Sets the start time stated in its reports.
+    void setStartTime(std::uint64_t startTime) { m_startTime = startTime; }
+
+private:
+    task_of<void> handle(http_exchange& exchange);
+    task_of<void> sendStream(http_exchange& exchange, const http_headers& headers, fake_endpoint_mode mode);
+    void recordRequest(const http_exchange& exchange);
+
+    std::string m_id;
+    std::string m_address;
+    std::string m_reportedAddress;
+    std::string m_service;
+    std::string m_stage;
+    std::atomic<fake_endpoint_mode> m_mode { fake_endpoint_mode::Normal };
+    std::atomic<milliseconds> m_delay { milliseconds(5) };
+    std::atomic<bool> m_crashed { false };
+    std::atomic<std::uint64_t> m_startTime { firstStartTime };
+    std::uint64_t m_sequence = 0;
+    mutable std::mutex m_mutex;
+    std::vector<std::string> m_requestLog;
+    std::map<std::string, int> m_runCounts;
+    traffic_threads m_threads { 1 };
+    http_server m_server;
+};
+
+} // namespace pistachiolatch::test
