--- a/Source/entry/announcement_relay.cpp
+++ b/Source/entry/announcement_relay.cpp
@@ -19,7 +19,7 @@
 {
     auto& one = m_heard[announcement.id()];
     one = { std::move(announcement), m_loop.now() };
-    if (const auto* owner = m_session.owner(shardOf(one.announcement)))
+    if (const auto* owner = m_session.findOwner(shardOf(one.announcement)))
         forward(one, *owner);
 }
 
--- a/Source/entry/entry_node.cpp
+++ b/Source/entry/entry_node.cpp
@@ -9,7 +9,7 @@
                m_limits.onShards();
                m_announcements.onShards();
                m_placements.onShards(); },
-              [this] { std::atomic_store(&m_poison, std::make_shared<const poison_list>(m_session.poison())); }, {} })
+              [this] { std::atomic_store(&m_poison, std::make_shared<const poison_list>(m_session.poisonMarks())); }, {} })
     , m_limits(loop, m_session, limitPatience)
     , m_placements(loop, m_session, counters)
     , m_announcements(loop, m_session)
--- a/Source/entry/entry_node.h
+++ b/Source/entry/entry_node.h
@@ -20,7 +20,7 @@
     void leave();
 
     /// Whether new work may be taken. Thread safety: any thread.
-    bool ready() const { return m_session.leaseValid(); }
+    bool ready() const { return m_session.hasValidLease(); }
     std::shared_ptr<const config_view> config() const { return m_session.config(); }
     /// Whether control has recorded enough crashes for this request to block it. Thread safety: any thread.
     bool isPoison(std::uint64_t fingerprint) const { return std::atomic_load(&m_poison)->contains(fingerprint); }
--- a/Source/entry/limit_client.cpp
+++ b/Source/entry/limit_client.cpp
@@ -39,7 +39,7 @@
 
 void limit_client::ask(question& one)
 {
-    const auto* owner = m_session.owner(limitShard(one.organisation));
+    const auto* owner = m_session.findOwner(limitShard(one.organisation));
     if (!owner)
         return;
     one.askedEpoch = owner->epoch();
@@ -89,7 +89,7 @@
 
 void limit_client::sendBack(const returned_tokens& back)
 {
-    const auto* owner = m_session.owner(limitShard(back.organisation));
+    const auto* owner = m_session.findOwner(limitShard(back.organisation));
     if (!owner)
         return;
     wire::envelope message;
@@ -117,7 +117,7 @@
 void limit_client::onShards()
 {
     for (auto& [id, one] : m_questions) {
-        const auto* owner = m_session.owner(limitShard(one.organisation));
+        const auto* owner = m_session.findOwner(limitShard(one.organisation));
         if (owner && owner->epoch() != one.askedEpoch)
             ask(one);
     }
--- a/Source/entry/placement_client.cpp
+++ b/Source/entry/placement_client.cpp
@@ -35,7 +35,7 @@
 
 void placement_client::ask(question& one)
 {
-    const auto* owner = m_session.owner(one.request.shard());
+    const auto* owner = m_session.findOwner(one.request.shard());
     if (!owner)
         return;
     one.askedEpoch = owner->epoch();
@@ -107,7 +107,7 @@
 
 void placement_client::sendProgress(wire::progress report, int triesLeft)
 {
-    const auto* owner = m_session.owner(report.shard());
+    const auto* owner = m_session.findOwner(report.shard());
     if (!owner || triesLeft == 0)
         return; // A new owner hears what is held; the end of the rest it never heard of.
     report.set_epoch(owner->epoch());
@@ -126,7 +126,7 @@
 
 void placement_client::sendCrash(wire::crash_report report, int triesLeft)
 {
-    const auto* owner = m_session.owner(report.shard());
+    const auto* owner = m_session.findOwner(report.shard());
     if (!owner || triesLeft == 0)
         return;
     wire::envelope message;
@@ -167,7 +167,7 @@
         reportHeld(owner);
     }
     for (auto& [key, one] : m_questions) {
-        const auto* owner = m_session.owner(one.request.shard());
+        const auto* owner = m_session.findOwner(one.request.shard());
         if (owner && owner->epoch() != one.askedEpoch)
             ask(one);
     }
--- a/Source/scheduler/custodian.cpp
+++ b/Source/scheduler/orphan_collector.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/custodian.h"
+#include "scheduler/orphan_collector.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
     constexpr milliseconds attachedGrace { 60000 };
 }
 
-task_of<void> custodian::run(sweep given)
+task_of<void> orphan_collector::run(sweep given)
 {
     // A sweep that is slower than the interval is not overtaken by the next.
     if (m_running)
@@ -23,7 +23,7 @@
     m_running = false;
 }
 
-task_of<void> custodian::runOne(const custodian_endpoint& endpoint, const sweep& given)
+task_of<void> orphan_collector::runOne(const orphan_endpoint& endpoint, const sweep& given)
 {
     http_json_endpoint engine(endpoint.address, {});
     auto held = co_await engine.held();
@@ -36,7 +36,7 @@
     }
 }
 
-bool custodian::orphaned(const held_item& item, const sweep& given)
+bool orphan_collector::orphaned(const held_item& item, const sweep& given)
 {
     auto tag = request_tag::parse(item.tag);
     if (!tag)
--- a/Source/scheduler/custodian.h
+++ b/Source/scheduler/orphan_collector.h
@@ -9,7 +9,7 @@
 namespace pistachiolatch {
 
 /// An endpoint to look after.
-struct custodian_endpoint {
+struct orphan_endpoint {
     std::string id;
     std::string address;
 };
@@ -17,16 +17,16 @@
 /// Frees what entries that are gone left on endpoints: asks each endpoint what it holds, and cancels the tags of
 /// entries that live no more. Without it an entry killed between prefill and decode would keep engine memory taken.
 /// Traffic thread only, but for the static task.
-class custodian {
+class orphan_collector {
 public:
     /// What the control thread hands over for one sweep.
     struct sweep {
-        std::vector<custodian_endpoint> endpoints;
+        std::vector<orphan_endpoint> endpoints;
         std::vector<wire::live_process> live;
         time_point now {};
     };
 
-    explicit custodian(metrics& counters)
+    explicit orphan_collector(metrics& counters)
         : m_metrics(counters)
     {
     }
@@ -35,7 +35,7 @@
     task_of<void> run(sweep given);
 
 private:
-    task_of<void> runOne(const custodian_endpoint& endpoint, const sweep& given);
+    task_of<void> runOne(const orphan_endpoint& endpoint, const sweep& given);
     /// Whether a tag's entry is gone for good, as far as the live list tells.
     bool orphaned(const held_item& item, const sweep& given);
 
--- a/Source/scheduler/owned_pools.cpp
+++ b/Source/scheduler/owned_pools.cpp
@@ -30,7 +30,7 @@
     , m_since(loop.now())
 {
     configure(*session.config());
-    m_pool.learnPoison(session.poison());
+    m_pool.learnPoison(session.poisonMarks());
 }
 
 void owned_pool::configure(const config_view& config)
--- a/Source/scheduler/scheduler_node.cpp
+++ b/Source/scheduler/scheduler_node.cpp
@@ -23,13 +23,13 @@
           { [this](const auto&) { followConfig(); }, [this] { followShards(); },
               [this] {
                   for (auto& [shard, one] : m_pools)
-                      one->decisions().learnPoison(m_session.poison());
+                      one->decisions().learnPoison(m_session.poisonMarks());
               },
               [this] {
                   for (auto& [shard, one] : m_pools)
                       one->decisions().sweep(m_session.live(), m_clock.now());
               } })
-    , m_custodian(std::make_shared<custodian>(given.counters))
+    , m_orphanCollector(std::make_shared<orphan_collector>(given.counters))
 {
 }
 
@@ -41,7 +41,7 @@
         return;
     }
     // A scheduler whose lease ran out stays silent: another may already decide for its shards.
-    if (!m_session.leaseValid() || m_left) {
+    if (!m_session.hasValidLease() || m_left) {
         m_metrics.count("message_without_lease");
         return;
     }
@@ -93,7 +93,7 @@
 {
     auto now = m_clock.now();
     m_session.tick(now);
-    if (!m_session.leaseValid() || m_left)
+    if (!m_session.hasValidLease() || m_left)
         return;
     for (auto& [shard, one] : m_limits)
         one->step(now);
@@ -107,7 +107,7 @@
 {
     const auto& self = m_session.self();
     auto owned = [&](const std::string& shard, std::uint64_t epoch) {
-        const auto* owner = m_session.owner(shard);
+        const auto* owner = m_session.findOwner(shard);
         return owner && owner->scheduler() == self.name && owner->incarnation() == self.incarnation && owner->epoch() == epoch;
     };
     std::erase_if(m_pools, [&](const auto& item) { return !owned(item.first, item.second->epoch()); });
@@ -140,7 +140,7 @@
     if (now < m_nextSweep)
         return;
     m_nextSweep = now + sweepInterval;
-    custodian::sweep sweep;
+    orphan_collector::sweep sweep;
     sweep.now = now;
     sweep.live = m_session.live();
     for (const auto& [shard, one] : m_pools) {
@@ -152,7 +152,7 @@
     }
     if (sweep.endpoints.empty())
         return;
-    boost::asio::post(m_threads.first(), [this, keeper = m_custodian, sweep = std::move(sweep)] {
+    boost::asio::post(m_threads.first(), [this, keeper = m_orphanCollector, sweep = std::move(sweep)] {
         boost::asio::co_spawn(m_threads.first(), keeper->run(sweep), [keeper](std::exception_ptr) {});
     });
 }
@@ -189,7 +189,7 @@
     role_order order { wanted.revision, wanted.role, wanted.model, wanted.version };
     auto send = [this, address = endpoint.address(), id = endpoint.id(), order]() -> task_of<void> {
         // Checked again where it is sent: an endpoint that ignores fencing must not get an order of an old owner.
-        if (!m_session.leaseValid())
+        if (!m_session.hasValidLease())
             co_return;
         http_json_endpoint engine(address, {});
         auto status = co_await engine.order(order);
--- a/Source/scheduler/scheduler_node.h
+++ b/Source/scheduler/scheduler_node.h
@@ -1,6 +1,6 @@
 #pragma once
 #include "http/http.h"
-#include "scheduler/custodian.h"
+#include "scheduler/orphan_collector.h"
 #include "scheduler/owned_limits.h"
 #include "scheduler/owned_pools.h"
 #include "session/session.h"
@@ -28,7 +28,7 @@
     void tick();
     /// Stops deciding and tells control, so that the shards move on at once. Control thread.
     void leave();
-    bool ready() const { return m_session.leaseValid(); }
+    bool ready() const { return m_session.hasValidLease(); }
 
 private:
     struct issued_order {
@@ -53,7 +53,7 @@
     std::map<std::string, std::unique_ptr<owned_pool>> m_pools;
     std::map<std::string, std::unique_ptr<owned_limits>> m_limits;
     std::map<std::string, issued_order> m_orders;
-    std::shared_ptr<custodian> m_custodian;
+    std::shared_ptr<orphan_collector> m_orphanCollector;
     time_point m_nextSweep {};
     time_point m_nextOrders {};
     bool m_left = false;
--- a/Source/session/control_session.cpp
+++ b/Source/session/control_session.cpp
@@ -148,7 +148,7 @@
         m_events.pop_front();
 }
 
-const wire::shard_owner* control_session::owner(const std::string& shard) const
+const wire::shard_owner* control_session::findOwner(const std::string& shard) const
 {
     auto found = m_shards.find(shard);
     return found == m_shards.end() ? nullptr : &found->second;
--- a/Source/session/control_session.h
+++ b/Source/session/control_session.h
@@ -21,7 +21,7 @@
 
 /// Keeps a process in touch with the control leader: heartbeats, the lease, and by them the records in force,
 /// the owners of shards, the marks of requests that crash endpoints and the list of live processes.
-/// Thread safety: the control thread, but for leaseValid() and config().
+/// Thread safety: the control thread, but for hasValidLease() and config().
 class control_session {
 public:
     control_session(control_loop& loop, const wire_settings& settings, wire::process_kind kind, const clock_source& clock, session_hooks hooks);
@@ -38,13 +38,13 @@
     void addEvent(std::string text);
 
     /// Whether this process may still act on what control told it. Thread safety: any thread.
-    bool leaseValid() const { return m_lease.valid(m_clock.now()); }
+    bool hasValidLease() const { return m_lease.valid(m_clock.now()); }
     /// The configuration in force. Never null. Thread safety: any thread.
     std::shared_ptr<const config_view> config() const { return std::atomic_load(&m_config); }
     /// The owner of a shard, or null.
-    const wire::shard_owner* owner(const std::string& shard) const;
+    const wire::shard_owner* findOwner(const std::string& shard) const;
     const std::map<std::string, wire::shard_owner>& shards() const { return m_shards; }
-    const std::vector<wire::poison_mark>& poison() const { return m_poison; }
+    const std::vector<wire::poison_mark>& poisonMarks() const { return m_poison; }
     const std::vector<wire::live_process>& live() const { return m_live; }
     const process_identity& self() const { return m_self; }
     /// Whether a full answer of control has come since the start.
