--- a/Source/scheduler/main.cpp
+++ b/Source/scheduler/main.cpp
@@ -19,8 +19,8 @@
         settings.pools.fair = reader.flag("scheduling.fair", settings.pools.fair);
         settings.pools.admission = reader.flag("scheduling.admission", settings.pools.admission);
         settings.pools.lateYields = reader.flag("scheduling.late_yields", settings.pools.lateYields);
-        constexpr std::int64_t wholeShare = 100;
-        settings.pools.lateShare = static_cast<std::uint32_t>(reader.integer("scheduling.late_share_percent", settings.pools.lateShare, 0, wholeShare));
+        constexpr std::int64_t maxPercent = 100;
+        settings.pools.lateShare = static_cast<std::uint32_t>(reader.integer("scheduling.late_share_percent", settings.pools.lateShare, 0, maxPercent));
         if (!policyByName(settings.pools.policy))
             reader.reject("scheduling.policy", fmt::format("is \"{}\"; use reserve, round_robin or least_reported", settings.pools.policy));
         return reader.finish();
@@ -34,7 +34,7 @@
         {
             addCore("pistachiolatch-scheduler", settings.wire, 1);
             auto& loop = registry.find<control_loop>(loopService);
-            m_node = std::make_unique<scheduler_node>(scheduler_node::parts { loop, clock, counters, registry.find<traffic_threads>(trafficService), settings.wire, settings.pools });
+            m_node = std::make_unique<scheduler_node>(scheduler_node::dependencies { loop, clock, counters, registry.find<traffic_threads>(trafficService), settings.wire, settings.pools });
             loop.onMessage([this](const wire::envelope& message) { m_node->onMessage(message); });
             loop.onTick([this] { m_node->tick(); });
             addAdmin(settings.adminListen, { [this] { return std::string(m_node->ready() ? "" : "no lease from control"); }, {} });
@@ -59,7 +59,7 @@
     using namespace pistachiolatch;
     scheduler_process process;
     return runProgram(argc, argv, PISTACHIOLATCH_VERSION,
-        { "pistachiolatch-scheduler", "Decides for pools and limits of a pistachiolatch fleet.",
+        { "pistachiolatch-scheduler", "Places requests on endpoints and enforces rate limits for a pistachiolatch fleet.",
             [&](settings_reader& reader) { return readSettings(reader, process.settings); },
             [&] { return process.start(); }, [&] { process.stop(); }, {} });
 }
--- a/Source/scheduler/orphan_collector.cpp
+++ b/Source/scheduler/orphan_collector.cpp
@@ -5,55 +5,55 @@
 namespace pistachiolatch {
 
 namespace {
-    /// An entry that control has not heard for a while may still serve a caller. Its unattached leftovers are
-    /// freed after this; what still has a connection to it gets longer.
-    constexpr milliseconds unattachedGrace { 2000 };
-    constexpr milliseconds attachedGrace { 60000 };
+    /// An entry without a current lease may still serve callers, so its requests are cancelled only after these delays;
+    /// requests with an open connection get the longer one.
+    constexpr milliseconds unattachedGracePeriod { 2000 };
+    constexpr milliseconds attachedGracePeriod { 60000 };
 }
 
-task_of<void> orphan_collector::run(sweep given)
+task_of<void> orphan_collector::collect(collection_input input)
 {
-    // A sweep that is slower than the interval is not overtaken by the next.
+    // Skips this pass while an earlier one is still running.
     if (m_running)
         co_return;
     m_running = true;
-    for (const auto& endpoint : given.endpoints)
-        co_await runOne(endpoint, given);
-    std::erase_if(m_missingSince, [&](const auto& item) { return given.now - item.second > attachedGrace * 2; });
+    for (const auto& endpoint : input.endpoints)
+        co_await collectFrom(endpoint, input);
+    std::erase_if(m_missingSince, [&](const auto& item) { return input.now - item.second > attachedGracePeriod * 2; });
     m_running = false;
 }
 
-task_of<void> orphan_collector::runOne(const orphan_endpoint& endpoint, const sweep& given)
+task_of<void> orphan_collector::collectFrom(const orphan_endpoint& endpoint, const collection_input& input)
 {
     http_json_endpoint engine(endpoint.address, {});
-    auto held = co_await engine.held();
-    for (const auto& item : held.items) {
-        if (!orphaned(item, given))
+    auto requests = co_await engine.held();
+    for (const auto& request : requests.items) {
+        if (!isOrphaned(request, input))
             continue;
-        bool freed = co_await engine.cancel(item.tag);
+        bool freed = co_await engine.cancel(request.tag);
         m_metrics.count(freed ? "orphan_freed" : "orphan_cancel_failed");
-        logEvent("orphan_cancelled", { { "endpoint", endpoint.id }, { "tag", item.tag }, { "freed", freed } });
+        logEvent("orphan_cancelled", { { "endpoint", endpoint.id }, { "tag", request.tag }, { "freed", freed } });
     }
 }
 
-bool orphan_collector::orphaned(const held_item& item, const sweep& given)
+bool orphan_collector::isOrphaned(const held_item& request, const collection_input& input)
 {
-    auto tag = request_tag::parse(item.tag);
+    auto tag = request_tag::parse(request.tag);
     if (!tag)
         return false;
-    auto sameVm = std::find_if(given.live.begin(), given.live.end(), [&](const auto& process) {
+    auto sameVm = std::find_if(input.live.begin(), input.live.end(), [&](const auto& process) {
         return process.kind() == wire::PROCESS_ENTRY && process.name() == tag->entry;
     });
     auto missing = fmt::format("{}/{}", tag->entry, tag->incarnation);
-    if (sameVm != given.live.end() && sameVm->incarnation() == tag->incarnation) {
+    if (sameVm != input.live.end() && sameVm->incarnation() == tag->incarnation) {
         m_missingSince.erase(missing);
         return false;
     }
-    // A newer incarnation on the VM proves that the earlier process has ended.
-    if (sameVm != given.live.end() && sameVm->incarnation() > tag->incarnation)
+    // A newer incarnation on the same VM proves that the earlier process has ended.
+    if (sameVm != input.live.end() && sameVm->incarnation() > tag->incarnation)
         return true;
-    auto since = m_missingSince.try_emplace(missing, given.now).first->second;
-    return given.now - since >= (item.attached ? attachedGrace : unattachedGrace);
+    auto since = m_missingSince.try_emplace(missing, input.now).first->second;
+    return input.now - since >= (request.attached ? attachedGracePeriod : unattachedGracePeriod);
 }
 
 } // namespace pistachiolatch
--- a/Source/scheduler/orphan_collector.h
+++ b/Source/scheduler/orphan_collector.h
@@ -8,19 +8,19 @@
 
 namespace pistachiolatch {
 
-/// An endpoint to look after.
+/// An endpoint to check for orphaned requests.
 struct orphan_endpoint {
     std::string id;
     std::string address;
 };
 
-/// Frees what entries that are gone left on endpoints: asks each endpoint what it holds, and cancels the tags of
-/// entries that live no more. Without it an entry killed between prefill and decode would keep engine memory taken.
-/// Traffic thread only, but for the static task.
+/// Cancels requests that terminated entries left on endpoints. Without it, an entry killed between prefill and decode
+/// would leave engine memory allocated.
+/// Thread safety: one traffic thread only.
 class orphan_collector {
 public:
-    /// What the control thread hands over for one sweep.
-    struct sweep {
+    /// A copy of the control thread's state for one pass.
+    struct collection_input {
         std::vector<orphan_endpoint> endpoints;
         std::vector<wire::live_process> live;
         time_point now {};
@@ -31,16 +31,16 @@
     {
     }
 
-    /// Sweeps each endpoint once, one after the other.
-    task_of<void> run(sweep given);
+    /// Checks each endpoint once, sequentially. Does nothing while an earlier pass is running.
+    task_of<void> collect(collection_input input);
 
 private:
-    task_of<void> runOne(const orphan_endpoint& endpoint, const sweep& given);
-    /// Whether a tag's entry is gone for good, as far as the live list tells.
-    bool orphaned(const held_item& item, const sweep& given);
+    task_of<void> collectFrom(const orphan_endpoint& endpoint, const collection_input& input);
+    /// Whether the entry that sent the request is considered terminated, according to the list of live processes.
+    bool isOrphaned(const held_item& request, const collection_input& input);
 
     metrics& m_metrics;
-    /// When the entry of a tag was first missing from the live list.
+    /// When each entry was first missing from the list of live processes, by name and incarnation.
     std::map<std::string, time_point> m_missingSince;
     bool m_running = false;
 };
--- a/Source/scheduler/owned_limits.cpp
+++ b/Source/scheduler/owned_limits.cpp
@@ -7,9 +7,9 @@
     , m_epoch(epoch)
     , m_loop(loop)
     , m_metrics(counters)
-    // The earlier owner's lease has run out before this shard was given away, but a grant given in its last
-    // moment lives on at an entry. Filling begins when that has ended too.
-    , m_owner(loop.now() + limitGrantLifetime)
+    // The previous owner's lease expired before this shard was reassigned, but its last grants may still be valid at
+    // entries. Buckets start to fill after those have expired.
+    , m_limiter(loop.now() + limitGrantLifetime)
 {
 }
 
@@ -19,12 +19,12 @@
     for (const auto& [organisation, limit] : config.limits()) {
         if (limitShard(organisation) != m_shard)
             continue;
-        m_owner.configure(organisation, limit.rate, limit.burst, now);
+        m_limiter.configure(organisation, limit.rate, limit.burst, now);
         present.insert(organisation);
     }
     for (const auto& organisation : m_organisations) {
         if (!present.count(organisation))
-            m_owner.remove(organisation);
+            m_limiter.remove(organisation);
     }
     m_organisations = std::move(present);
 }
@@ -33,29 +33,29 @@
 {
     const auto& request = message.limit();
     if (request.returned() > 0)
-        m_owner.giveBack(request.organisation(), request.returned(), now);
+        m_limiter.giveBack(request.organisation(), request.returned(), now);
     if (request.need() == 0)
         return;
-    m_questions[++m_lastTicket] = message;
-    m_owner.ask({ request.organisation(), request.need(), request.ahead(), milliseconds(request.patience_ms()), m_lastTicket }, now);
+    m_pendingRequests[++m_lastTicket] = message;
+    m_limiter.ask({ request.organisation(), request.need(), request.ahead(), milliseconds(request.patience_ms()), m_lastTicket }, now);
 }
 
-void owned_limits::step(time_point now)
+void owned_limits::sendDecisions(time_point now)
 {
-    for (const auto& verdict : m_owner.step(now)) {
-        auto question = m_questions.extract(verdict.ticket);
-        if (question.empty())
+    for (const auto& decision : m_limiter.step(now)) {
+        auto request = m_pendingRequests.extract(decision.ticket);
+        if (request.empty())
             continue;
         wire::envelope envelope;
         auto* reply = envelope.mutable_limit_reply();
         reply->set_shard(m_shard);
         reply->set_epoch(m_epoch);
-        reply->set_organisation(verdict.organisation);
-        reply->set_granted(verdict.granted);
+        reply->set_organisation(decision.organisation);
+        reply->set_granted(decision.granted);
         reply->set_valid_ms(static_cast<std::uint32_t>(limitGrantLifetime.count()));
-        reply->set_retry_after_ms(static_cast<std::uint32_t>(verdict.retryAfter.count()));
-        m_metrics.count(verdict.granted > 0 ? "limit_granted" : "limit_refused");
-        m_loop.wire().reply(question.mapped(), envelope);
+        reply->set_retry_after_ms(static_cast<std::uint32_t>(decision.retryAfter.count()));
+        m_metrics.count(decision.granted > 0 ? "limit_granted" : "limit_refused");
+        m_loop.wire().reply(request.mapped(), envelope);
     }
 }
 
--- a/Source/scheduler/owned_limits.h
+++ b/Source/scheduler/owned_limits.h
@@ -7,28 +7,28 @@
 
 namespace pistachiolatch {
 
-/// One limit shard that this scheduler owns: takes the entries' questions and sends the verdicts.
+/// A limit shard owned by this scheduler: accepts token requests from entries and replies with grants or refusals.
 /// Control thread only.
 class owned_limits {
 public:
     owned_limits(std::string shard, std::uint64_t epoch, control_loop& loop, metrics& counters);
 
     std::uint64_t epoch() const { return m_epoch; }
-    /// Takes over the limits in force for the organisations of this shard.
+    /// Applies the configured limits of the organisations in this shard.
     void configure(const config_view& config, time_point now);
     void onRequest(const wire::envelope& message, time_point now);
-    /// Sends the verdicts that are due.
-    void step(time_point now);
-    std::size_t size() const { return m_owner.size(); }
+    /// Replies to the requests that have been decided.
+    void sendDecisions(time_point now);
+    std::size_t size() const { return m_limiter.size(); }
 
 private:
     std::string m_shard;
     std::uint64_t m_epoch;
     control_loop& m_loop;
     metrics& m_metrics;
-    limit_owner m_owner;
+    limit_owner m_limiter;
     std::set<std::string> m_organisations;
-    std::map<std::uint64_t, wire::envelope> m_questions;
+    std::map<std::uint64_t, wire::envelope> m_pendingRequests;
     std::uint64_t m_lastTicket = 0;
 };
 
--- a/Source/scheduler/owned_pools.cpp
+++ b/Source/scheduler/owned_pools.cpp
@@ -5,9 +5,9 @@
 namespace {
     constexpr std::string_view modelPrefix = "model:";
     constexpr std::string_view servicePrefix = "service:";
-    /// Entries learn of a new owner within a heartbeat and report at once.
-    constexpr milliseconds settleTimeout { 600 };
-    constexpr milliseconds crashCallTimeout { 1000 };
+    /// Entries learn of a new owner within one heartbeat interval and report immediately.
+    constexpr milliseconds reservationReportTimeout { 600 };
+    constexpr milliseconds crashReportTimeout { 1000 };
 }
 
 bool isModelShard(const std::string& shard)
@@ -27,7 +27,7 @@
     , m_session(session)
     , m_metrics(counters)
     , m_pool(shard, isModelShard(shard) ? pool_kind::Model : pool_kind::Service, settings, {})
-    , m_since(loop.now())
+    , m_ownedSince(loop.now())
 {
     configure(*session.config());
     m_pool.learnPoison(session.poisonMarks());
@@ -41,7 +41,7 @@
         m_pool.setTargets({ model->firstToken, model->perToken });
 }
 
-void owned_pool::onPlace(const wire::envelope& message, time_point now)
+void owned_pool::onPlacementRequest(const wire::envelope& message, time_point now)
 {
     pool_request request;
     request.place = message.place();
@@ -68,33 +68,33 @@
     m_loop.wire().reply(message, acknowledgement);
 }
 
-void owned_pool::onHeld(const wire::envelope& message, time_point now)
+void owned_pool::onReservationReport(const wire::envelope& message, time_point now)
 {
     m_pool.held(message.held(), message.sender(), message.sender_incarnation(), now);
-    m_reported.insert(message.sender());
+    m_reportedEntries.insert(message.sender());
 }
 
-void owned_pool::onAnnounce(const wire::announce_forward& forward, time_point now)
+void owned_pool::onAnnouncement(const wire::announce_forward& forward, time_point now)
 {
     reportCrashes(m_pool.announce(forward.endpoint(), milliseconds(forward.age_ms()), now));
 }
 
-bool owned_pool::settled(time_point now) const
+bool owned_pool::hasRestoredReservations(time_point now) const
 {
-    if (now - m_since > settleTimeout)
+    if (now - m_ownedSince > reservationReportTimeout)
         return true;
     for (const auto& process : m_session.live()) {
-        if (process.kind() == wire::PROCESS_ENTRY && !m_reported.count(process.name()))
+        if (process.kind() == wire::PROCESS_ENTRY && !m_reportedEntries.count(process.name()))
             return false;
     }
     return true;
 }
 
-void owned_pool::step(time_point now)
+void owned_pool::schedulePlacements(time_point now)
 {
     reportCrashes(m_pool.expire(now));
-    // Deciding before the entries told what they hold would put new work onto endpoints that are full.
-    if (!settled(now))
+    // Placing requests before the entries have reported their reservations would overload full endpoints.
+    if (!hasRestoredReservations(now))
         return;
     for (auto& decision : m_pool.decide(now)) {
         wire::envelope envelope;
@@ -114,7 +114,7 @@
         *envelope.mutable_crash() = report;
         envelope.mutable_crash()->set_shard(m_shard);
         m_metrics.count("endpoint_crash_confirmed");
-        m_session.callLeader(envelope, crashCallTimeout, [](const wire::envelope*) {});
+        m_session.callLeader(envelope, crashReportTimeout, [](const wire::envelope*) {});
     }
 }
 
--- a/Source/scheduler/owned_pools.h
+++ b/Source/scheduler/owned_pools.h
@@ -10,26 +10,26 @@
 
 namespace pistachiolatch {
 
-/// One pool that this scheduler owns, with what it needs to take over from an earlier owner.
+/// A pool owned by this scheduler. After a change of owner it restores the reservations that entries report.
 /// Control thread only.
 class owned_pool {
 public:
     owned_pool(const std::string& shard, std::uint64_t epoch, const pool_settings& settings, control_loop& loop, control_session& session, metrics& counters);
 
     std::uint64_t epoch() const { return m_epoch; }
-    pool& decisions() { return m_pool; }
-    const pool& decisions() const { return m_pool; }
+    pool& placementPool() { return m_pool; }
+    const pool& placementPool() const { return m_pool; }
     void configure(const config_view& config);
-    void onPlace(const wire::envelope& message, time_point now);
+    void onPlacementRequest(const wire::envelope& message, time_point now);
     void onProgress(const wire::envelope& message, time_point now);
-    void onHeld(const wire::envelope& message, time_point now);
-    void onAnnounce(const wire::announce_forward& forward, time_point now);
-    /// Decides what is due and sends it.
-    void step(time_point now);
+    void onReservationReport(const wire::envelope& message, time_point now);
+    void onAnnouncement(const wire::announce_forward& forward, time_point now);
+    /// Sends the placement decisions that are due.
+    void schedulePlacements(time_point now);
 
 private:
-    /// Whether every live entry has told what it holds, or has had the time to.
-    bool settled(time_point now) const;
+    /// Whether every live entry has reported its reservations, or the time for reporting has passed.
+    bool hasRestoredReservations(time_point now) const;
     void reportCrashes(const std::vector<wire::crash_report>& reports);
 
     std::string m_shard;
@@ -38,11 +38,11 @@
     control_session& m_session;
     metrics& m_metrics;
     pool m_pool;
-    time_point m_since;
-    std::set<std::string> m_reported;
+    time_point m_ownedSince;
+    std::set<std::string> m_reportedEntries;
 };
 
-/// The shards of models and services, by their names.
+/// Whether a shard is the pool of a model or of a service, from its name.
 bool isModelShard(const std::string& shard);
 bool isServiceShard(const std::string& shard);
 
--- a/Source/scheduler/scheduler_node.cpp
+++ b/Source/scheduler/scheduler_node.cpp
@@ -6,30 +6,30 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr milliseconds sweepInterval { 1000 };
-    constexpr milliseconds orderInterval { 500 };
-    /// One order at a time for each pool, and this long for the endpoint to load, so that loads don't all draw on
-    /// the weight store at once.
-    constexpr milliseconds orderRetry { 10000 };
+    constexpr milliseconds orphanCollectionInterval { 1000 };
+    constexpr milliseconds orderCheckInterval { 500 };
+    /// Time for an endpoint to load its model before the order is repeated. Each pool sends one order at a time, so that
+    /// endpoints don't all load from the weight store at once.
+    constexpr milliseconds orderRetryDelay { 10000 };
 }
 
-scheduler_node::scheduler_node(parts given)
-    : m_loop(given.loop)
-    , m_clock(given.clock)
-    , m_metrics(given.counters)
-    , m_threads(given.threads)
-    , m_poolSettings(std::move(given.pools))
-    , m_session(given.loop, given.wire, wire::PROCESS_SCHEDULER, given.clock,
-          { [this](const auto&) { followConfig(); }, [this] { followShards(); },
+scheduler_node::scheduler_node(dependencies deps)
+    : m_loop(deps.loop)
+    , m_clock(deps.clock)
+    , m_metrics(deps.counters)
+    , m_threads(deps.threads)
+    , m_poolSettings(std::move(deps.pools))
+    , m_session(deps.loop, deps.wire, wire::PROCESS_SCHEDULER, deps.clock,
+          { [this](const auto&) { applyConfiguration(); }, [this] { updateOwnedShards(); },
               [this] {
-                  for (auto& [shard, one] : m_pools)
-                      one->decisions().learnPoison(m_session.poisonMarks());
+                  for (auto& [shard, ownedPool] : m_pools)
+                      ownedPool->placementPool().learnPoison(m_session.poisonMarks());
               },
               [this] {
-                  for (auto& [shard, one] : m_pools)
-                      one->decisions().sweep(m_session.live(), m_clock.now());
+                  for (auto& [shard, ownedPool] : m_pools)
+                      ownedPool->placementPool().sweep(m_session.live(), m_clock.now());
               } })
-    , m_orphanCollector(std::make_shared<orphan_collector>(given.counters))
+    , m_orphanCollector(std::make_shared<orphan_collector>(deps.counters))
 {
 }
 
@@ -40,32 +40,32 @@
         m_session.onGrant(message.grant());
         return;
     }
-    // A scheduler whose lease ran out stays silent: another may already decide for its shards.
+    // After the lease has expired, another scheduler may already own the shards.
     if (!m_session.hasValidLease() || m_left) {
         m_metrics.count("message_without_lease");
         return;
     }
     if (message.has_place()) {
-        onPlace(message);
+        onPlacementRequest(message);
     } else if (message.has_progress()) {
-        if (auto* one = poolOf(message.progress().shard()))
-            one->onProgress(message, now);
+        if (auto* ownedPool = findPool(message.progress().shard()))
+            ownedPool->onProgress(message, now);
     } else if (message.has_held()) {
-        if (auto* one = poolOf(message.held().shard()); one && one->epoch() == message.held().epoch())
-            one->onHeld(message, now);
+        if (auto* ownedPool = findPool(message.held().shard()); ownedPool && ownedPool->epoch() == message.held().epoch())
+            ownedPool->onReservationReport(message, now);
     } else if (message.has_announce()) {
         const auto& endpoint = message.announce().endpoint();
-        if (auto* one = poolOf(endpoint.role() == "service" ? serviceShard(endpoint.model()) : modelShard(endpoint.model())))
-            one->onAnnounce(message.announce(), now);
+        if (auto* ownedPool = findPool(endpoint.role() == "service" ? serviceShard(endpoint.model()) : modelShard(endpoint.model())))
+            ownedPool->onAnnouncement(message.announce(), now);
     } else if (message.has_limit()) {
         auto found = m_limits.find(message.limit().shard());
         if (found != m_limits.end() && found->second->epoch() == message.limit().epoch())
             found->second->onRequest(message, now);
     } else if (message.has_crash()) {
-        if (auto* one = poolOf(message.crash().shard())) {
-            one->decisions().crash(message.crash(), now);
+        if (auto* ownedPool = findPool(message.crash().shard())) {
+            ownedPool->placementPool().crash(message.crash(), now);
             wire::envelope envelope;
-            envelope.mutable_crash_reply()->set_crashes(one->decisions().crashes(message.crash().fingerprint()));
+            envelope.mutable_crash_reply()->set_crashes(ownedPool->placementPool().crashes(message.crash().fingerprint()));
             m_loop.wire().reply(message, envelope);
         }
     } else if (message.has_scheduler_status()) {
@@ -73,17 +73,17 @@
     }
 }
 
-void scheduler_node::onPlace(const wire::envelope& message)
+void scheduler_node::onPlacementRequest(const wire::envelope& message)
 {
-    auto* one = poolOf(message.place().shard());
-    // A wrong epoch means that the entry and this scheduler don't agree yet who owns the pool; the entry asks again.
-    if (one && one->epoch() == message.place().epoch())
-        one->onPlace(message, m_clock.now());
+    auto* ownedPool = findPool(message.place().shard());
+    // A different epoch means that the entry and this scheduler disagree on the pool's owner; the entry retries.
+    if (ownedPool && ownedPool->epoch() == message.place().epoch())
+        ownedPool->onPlacementRequest(message, m_clock.now());
     else
         m_metrics.count("place_for_other_epoch");
 }
 
-owned_pool* scheduler_node::poolOf(const std::string& shard)
+owned_pool* scheduler_node::findPool(const std::string& shard)
 {
     auto found = m_pools.find(shard);
     return found == m_pools.end() ? nullptr : found->second.get();
@@ -95,15 +95,15 @@
     m_session.tick(now);
     if (!m_session.hasValidLease() || m_left)
         return;
-    for (auto& [shard, one] : m_limits)
-        one->step(now);
-    for (auto& [shard, one] : m_pools)
-        one->step(now);
-    sweepOrphans(now);
-    issueOrders(now);
+    for (auto& [shard, limits] : m_limits)
+        limits->sendDecisions(now);
+    for (auto& [shard, ownedPool] : m_pools)
+        ownedPool->schedulePlacements(now);
+    collectOrphans(now);
+    sendRoleOrders(now);
 }
 
-void scheduler_node::followShards()
+void scheduler_node::updateOwnedShards()
 {
     const auto& self = m_session.self();
     auto owned = [&](const std::string& shard, std::uint64_t epoch) {
@@ -126,69 +126,69 @@
     }
 }
 
-void scheduler_node::followConfig()
+void scheduler_node::applyConfiguration()
 {
     auto config = m_session.config();
-    for (auto& [shard, one] : m_limits)
-        one->configure(*config, m_clock.now());
-    for (auto& [shard, one] : m_pools)
-        one->configure(*config);
+    for (auto& [shard, limits] : m_limits)
+        limits->configure(*config, m_clock.now());
+    for (auto& [shard, ownedPool] : m_pools)
+        ownedPool->configure(*config);
 }
 
-void scheduler_node::sweepOrphans(time_point now)
+void scheduler_node::collectOrphans(time_point now)
 {
-    if (now < m_nextSweep)
+    if (now < m_nextCollection)
         return;
-    m_nextSweep = now + sweepInterval;
-    orphan_collector::sweep sweep;
-    sweep.now = now;
-    sweep.live = m_session.live();
-    for (const auto& [shard, one] : m_pools) {
+    m_nextCollection = now + orphanCollectionInterval;
+    orphan_collector::collection_input input;
+    input.now = now;
+    input.live = m_session.live();
+    for (const auto& [shard, ownedPool] : m_pools) {
         if (!isModelShard(shard))
             continue;
-        const auto& table = one->decisions().endpoints().table();
+        const auto& table = ownedPool->placementPool().endpoints().table();
         for (const auto& id : table.alive())
-            sweep.endpoints.push_back({ id, table.find(id)->address() });
+            input.endpoints.push_back({ id, table.find(id)->address() });
     }
-    if (sweep.endpoints.empty())
+    if (input.endpoints.empty())
         return;
-    boost::asio::post(m_threads.first(), [this, keeper = m_orphanCollector, sweep = std::move(sweep)] {
-        boost::asio::co_spawn(m_threads.first(), keeper->run(sweep), [keeper](std::exception_ptr) {});
+    boost::asio::post(m_threads.first(), [this, collector = m_orphanCollector, input = std::move(input)] {
+        boost::asio::co_spawn(m_threads.first(), collector->collect(input), [collector](std::exception_ptr) {});
     });
 }
 
-void scheduler_node::issueOrders(time_point now)
+void scheduler_node::sendRoleOrders(time_point now)
 {
-    if (now < m_nextOrders)
+    if (now < m_nextOrderCheck)
         return;
-    m_nextOrders = now + orderInterval;
+    m_nextOrderCheck = now + orderCheckInterval;
     auto config = m_session.config();
-    for (const auto& [shard, one] : m_pools) {
-        const auto& table = one->decisions().endpoints().table();
+    for (const auto& [shard, ownedPool] : m_pools) {
+        const auto& table = ownedPool->placementPool().endpoints().table();
         for (const auto& id : table.alive()) {
-            auto wanted = config->endpointRoles().find(id);
+            auto target = config->endpointRoles().find(id);
             const auto* endpoint = table.find(id);
-            if (wanted == config->endpointRoles().end())
+            if (target == config->endpointRoles().end())
                 continue;
-            bool asWanted = endpoint->role() == wanted->second.role && endpoint->model() == wanted->second.model && endpoint->model_version() == wanted->second.version;
-            auto& issued = m_orders[id];
-            if (asWanted || (issued.fence >= wanted->second.revision && now < issued.retryAt))
+            bool matches = endpoint->role() == target->second.role && endpoint->model() == target->second.model && endpoint->model_version() == target->second.version;
+            auto& sent = m_sentOrders[id];
+            if (matches || (sent.fence >= target->second.revision && now < sent.retryAt))
                 continue;
-            issued = { wanted->second.revision, now + orderRetry };
-            orderOne(*endpoint, wanted->second);
+            sent = { target->second.revision, now + orderRetryDelay };
+            sendRoleOrder(*endpoint, target->second);
             break;
         }
     }
 }
 
-void scheduler_node::orderOne(const wire::endpoint_announcement& endpoint, const endpoint_role_record& wanted)
+void scheduler_node::sendRoleOrder(const wire::endpoint_announcement& endpoint, const endpoint_role_record& target)
 {
-    m_session.addEvent(fmt::format("orders endpoint {} to be {} of {} {} with fence {}", endpoint.id(), wanted.role, wanted.model, wanted.version, wanted.revision));
-    // An order's content follows from its record, so the record's revision is its fencing number: whoever sends it,
-    // an older revision never undoes a newer one on an endpoint that checks.
-    role_order order { wanted.revision, wanted.role, wanted.model, wanted.version };
+    m_session.addEvent(fmt::format("orders endpoint {} to be {} of {} {} with fence {}", endpoint.id(), target.role, target.model, target.version, target.revision));
+    // The record determines the content of the order, so its revision serves as fencing token: an endpoint that checks
+    // it never replaces a newer order by an older one, whichever scheduler sends it.
+    role_order order { target.revision, target.role, target.model, target.version };
     auto send = [this, address = endpoint.address(), id = endpoint.id(), order]() -> task_of<void> {
-        // Checked again where it is sent: an endpoint that ignores fencing must not get an order of an old owner.
+        // Checked again right before sending: an endpoint that ignores fencing must not get orders of a former owner.
         if (!m_session.hasValidLease())
             co_return;
         http_json_endpoint engine(address, {});
@@ -203,8 +203,8 @@
 {
     wire::envelope envelope;
     auto* reply = envelope.mutable_scheduler_status_reply();
-    for (const auto& [shard, one] : m_pools)
-        reply->add_lines(one->decisions().describe());
+    for (const auto& [shard, ownedPool] : m_pools)
+        reply->add_lines(ownedPool->placementPool().describe());
     m_loop.wire().reply(message, envelope);
 }
 
--- a/Source/scheduler/scheduler_node.h
+++ b/Source/scheduler/scheduler_node.h
@@ -10,11 +10,11 @@
 
 namespace pistachiolatch {
 
-/// A scheduler: decides for the shards that control gave to it, for as long as its lease runs.
-/// Thread safety: the control thread; sweeps and orders run on a traffic thread.
+/// A scheduler process: handles the shards that control assigned to it while its lease is valid.
+/// Thread safety: the control thread; requests to endpoints run on a traffic thread.
 class scheduler_node {
 public:
-    struct parts {
+    struct dependencies {
         control_loop& loop;
         const clock_source& clock;
         metrics& counters;
@@ -22,27 +22,28 @@
         wire_settings wire;
         pool_settings pools;
     };
-    explicit scheduler_node(parts given);
+    explicit scheduler_node(dependencies deps);
 
     void onMessage(const wire::envelope& message);
     void tick();
-    /// Stops deciding and tells control, so that the shards move on at once. Control thread.
+    /// Stops handling shards and notifies control, which reassigns them without waiting for the lease to expire.
+    /// Control thread only.
     void leave();
     bool ready() const { return m_session.hasValidLease(); }
 
 private:
-    struct issued_order {
+    struct sent_order {
         std::uint64_t fence = 0;
         time_point retryAt {};
     };
-    void followShards();
-    void followConfig();
-    void onPlace(const wire::envelope& message);
+    void updateOwnedShards();
+    void applyConfiguration();
+    void onPlacementRequest(const wire::envelope& message);
     void onStatus(const wire::envelope& message);
-    owned_pool* poolOf(const std::string& shard);
-    void sweepOrphans(time_point now);
-    void issueOrders(time_point now);
-    void orderOne(const wire::endpoint_announcement& endpoint, const endpoint_role_record& wanted);
+    owned_pool* findPool(const std::string& shard);
+    void collectOrphans(time_point now);
+    void sendRoleOrders(time_point now);
+    void sendRoleOrder(const wire::endpoint_announcement& endpoint, const endpoint_role_record& target);
 
     control_loop& m_loop;
     const clock_source& m_clock;
@@ -52,10 +53,10 @@
     control_session m_session;
     std::map<std::string, std::unique_ptr<owned_pool>> m_pools;
     std::map<std::string, std::unique_ptr<owned_limits>> m_limits;
-    std::map<std::string, issued_order> m_orders;
+    std::map<std::string, sent_order> m_sentOrders;
     std::shared_ptr<orphan_collector> m_orphanCollector;
-    time_point m_nextSweep {};
-    time_point m_nextOrders {};
+    time_point m_nextCollection {};
+    time_point m_nextOrderCheck {};
     bool m_left = false;
 };
 
