--- a/Source/control/control_node.cpp
+++ b/Source/control/control_node.cpp
@@ -5,14 +5,14 @@
 namespace pistachiolatch {
 
 namespace {
-    constexpr std::size_t logEntriesKept = 2000;
-    constexpr milliseconds joinInterval { 500 };
-    constexpr milliseconds forceTimeout { 10000 };
-    constexpr milliseconds explainTimeout { 1000 };
-    constexpr std::size_t mostEventsKept = 1000;
+    constexpr std::size_t compactionThreshold = 2000;
+    constexpr milliseconds joinRequestInterval { 500 };
+    constexpr milliseconds confirmationTimeout { 10000 };
+    constexpr milliseconds statusTimeout { 1000 };
+    constexpr std::size_t maxEvents = 1000;
 }
 
-opened_replica memoryReplica(const wire_settings& wire)
+opened_replica makeMemoryReplica(const wire_settings& wire)
 {
     wire::replica_id self;
     self.set_vm(wire.vm);
@@ -21,22 +21,22 @@
     return { self, replica_store(memory_log_store()), {} };
 }
 
-control_node::control_node(parts given)
-    : m_loop(given.loop)
-    , m_clock(given.clock)
-    , m_metrics(given.counters)
-    , m_wire(std::move(given.wire))
-    , m_open(std::move(given.open))
+control_node::control_node(dependencies deps)
+    : m_loop(deps.loop)
+    , m_clock(deps.clock)
+    , m_metrics(deps.counters)
+    , m_wire(std::move(deps.wire))
+    , m_openReplica(std::move(deps.open))
 {
-    m_metrics.gauge("storage_usable", given.replica ? 1 : 0);
-    if (!given.replica) {
-        logEvent("storage_unusable", { { "error", given.replica.error().message } });
+    m_metrics.gauge("storage_usable", deps.replica ? 1 : 0);
+    if (!deps.replica) {
+        logEvent("storage_unusable", { { "error", deps.replica.error().message } });
         m_storageFailed = true;
         m_reopenAt = m_clock.now() + reopenPause;
     }
-    // The placeholder takes no part in the log until the stored replica can be opened.
-    restore(given.replica ? std::move(given.replica.value()) : memoryReplica(m_wire));
-    if (given.bootstrap)
+    // The placeholder doesn't take part in the log until the stored replica can be opened.
+    restore(deps.replica ? std::move(deps.replica.value()) : makeMemoryReplica(m_wire));
+    if (deps.bootstrap)
         core().bootstrap();
 }
 
@@ -44,37 +44,37 @@
 {
     m_self = replica.self;
     m_state = control_state();
-    m_applied = replica.restored.snapshot.index();
-    if (m_applied > 0 && !m_state.load(replica.restored.snapshot.state()))
-        std::abort(); // The snapshot's checksum was right, so its content is a broken invariant.
+    m_appliedIndex = replica.restored.snapshot.index();
+    if (m_appliedIndex > 0 && !m_state.load(replica.restored.snapshot.state()))
+        std::abort(); // The checksum was valid, so invalid content means a broken invariant.
     raft_core core(m_self, raft_settings {}, freshIncarnation(), std::move(replica.restored), m_clock.now());
-    m_host.emplace(std::move(core), std::move(replica.store), effects());
+    m_host.emplace(std::move(core), std::move(replica.store), makeCallbacks());
 }
 
-raft_effects control_node::effects()
+raft_effects control_node::makeCallbacks()
 {
-    raft_effects effects;
-    effects.send = [this](const wire::raft_message& message) {
+    raft_effects callbacks;
+    callbacks.send = [this](const wire::raft_message& message) {
         wire::envelope envelope;
         *envelope.mutable_raft() = message;
         m_loop.wire().send(message.to().address(), envelope);
     };
-    effects.apply = [this](const wire::log_entry& entry) { apply(entry); };
-    effects.restore = [this](const wire::raft_snapshot& snapshot) {
+    callbacks.apply = [this](const wire::log_entry& entry) { apply(entry); };
+    callbacks.restore = [this](const wire::raft_snapshot& snapshot) {
         if (!m_state.load(snapshot.state()))
             std::abort();
-        m_applied = snapshot.index();
+        m_appliedIndex = snapshot.index();
         logEvent("snapshot_installed", { { "index", snapshot.index() } });
     };
-    effects.read = [this](std::uint64_t id, bool done) {
-        auto found = m_reads.find(id);
-        if (found == m_reads.end())
+    callbacks.read = [this](std::uint64_t id, bool done) {
+        auto found = m_pendingReads.find(id);
+        if (found == m_pendingReads.end())
             return;
-        auto answer = std::move(found->second);
-        m_reads.erase(found);
-        answer(done);
+        auto handler = std::move(found->second);
+        m_pendingReads.erase(found);
+        handler(done);
     };
-    return effects;
+    return callbacks;
 }
 
 void control_node::onMessage(const wire::envelope& message)
@@ -89,14 +89,14 @@
             core().join(message.join().replica(), m_clock.now());
         break;
     case wire::envelope::kHeartbeat:
-        onHeartbeat(message);
+        handleHeartbeat(message);
         break;
     case wire::envelope::kLedgerBegin:
     case wire::envelope::kLedgerFinish:
-        onLedger(message);
+        handleLedgerCommand(message);
         break;
     case wire::envelope::kCrash:
-        onCrash(message);
+        handleCrashReport(message);
         break;
     default:
         m_metrics.count("wire_message_unexpected");
@@ -111,42 +111,42 @@
     if (m_storageFailed)
         return;
     core().tick(m_clock.now());
-    sendJoin();
-    settle();
-    if (m_leads) {
-        stepSessions();
-        settle();
+    sendJoinRequest();
+    processUpdates();
+    if (m_isLeader) {
+        updateSessions();
+        processUpdates();
     }
-    compactIfLong();
+    compactLogIfNeeded();
 }
 
-void control_node::settle()
+void control_node::processUpdates()
 {
-    drain();
-    followLeadership();
+    processReady();
+    updateLeadership();
 }
 
-void control_node::drain()
+void control_node::processReady()
 {
     if (m_storageFailed)
         return;
-    auto drained = m_host->drain();
-    if (!drained)
-        onStorageFailure(drained.error().message);
+    auto processed = m_host->drain();
+    if (!processed)
+        handleStorageFailure(processed.error().message);
 }
 
-void control_node::onStorageFailure(const std::string& why)
+void control_node::handleStorageFailure(const std::string& error)
 {
-    // A replica that can't sync can't keep its word; it takes no part before it acknowledges anything more.
-    logEvent("storage_failed", { { "error", why }, { "term", core().term() } });
+    // A replica that can't sync must not acknowledge anything, so it stops taking part in the log.
+    logEvent("storage_failed", { { "error", error }, { "term", core().term() } });
     m_metrics.count("storage_failed");
     m_metrics.gauge("storage_usable", 0);
     m_storageFailed = true;
     m_reopenAt = m_clock.now() + reopenPause;
-    failPending();
-    auto reads = std::exchange(m_reads, {});
-    for (auto& [id, answer] : reads)
-        answer(false);
+    failPendingRequests();
+    auto reads = std::exchange(m_pendingReads, {});
+    for (auto& [id, handler] : reads)
+        handler(false);
 }
 
 void control_node::reopenStorage()
@@ -155,7 +155,7 @@
         return;
     m_reopenAt = m_clock.now() + reopenPause;
     m_host->storage().close();
-    auto opened = m_open(true);
+    auto opened = m_openReplica(true);
     if (!opened) {
         logEvent("storage_unusable", { { "error", opened.error().message } });
         return;
@@ -166,11 +166,11 @@
     m_metrics.gauge("storage_usable", 1);
 }
 
-void control_node::sendJoin()
+void control_node::sendJoinRequest()
 {
-    if (!core().wantsToJoin() || m_clock.now() < m_nextJoin)
+    if (!core().wantsToJoin() || m_clock.now() < m_nextJoinRequest)
         return;
-    m_nextJoin = m_clock.now() + joinInterval;
+    m_nextJoinRequest = m_clock.now() + joinRequestInterval;
     for (const auto& address : m_wire.controls) {
         if (address == m_self.address())
             continue;
@@ -187,54 +187,54 @@
         handler(nullptr);
         return;
     }
-    m_pending[position->index] = { position->term, std::move(handler) };
+    m_pendingProposals[position->index] = { position->term, std::move(handler) };
 }
 
 void control_node::apply(const wire::log_entry& entry)
 {
-    m_applied = entry.index();
+    m_appliedIndex = entry.index();
     if (entry.kind() == wire::ENTRY_MEMBERSHIP)
         logEvent("membership_committed", { { "index", entry.index() }, { "term", entry.term() } });
     apply_outcome outcome;
     if (entry.kind() == wire::ENTRY_COMMAND) {
         wire::command command;
         if (!command.ParseFromString(entry.data()))
-            std::abort(); // Only this program writes commands: a broken invariant.
+            std::abort(); // Only this program writes commands, so this means a broken invariant.
         outcome = m_state.apply(command);
     }
-    auto found = m_pending.find(entry.index());
-    if (found == m_pending.end())
+    auto found = m_pendingProposals.find(entry.index());
+    if (found == m_pendingProposals.end())
         return;
     auto pending = std::move(found->second);
-    m_pending.erase(found);
-    // Another leader's entry stands where the proposal was: the proposal is lost.
+    m_pendingProposals.erase(found);
+    // An entry of another term at this index means that the proposal was lost.
     pending.handler(pending.term == entry.term() ? &outcome : nullptr);
 }
 
-void control_node::failPending()
+void control_node::failPendingRequests()
 {
-    auto pending = std::exchange(m_pending, {});
-    for (auto& [index, one] : pending)
-        one.handler(nullptr);
-    auto awaiting = std::exchange(m_awaiting, {});
-    for (auto& one : awaiting) {
-        logEvent("change_unconfirmed", { { "revision", one.revision }, { "why", m_storageFailed ? "storage_failed" : "leadership_lost" } });
-        one.answer(false);
+    auto proposals = std::exchange(m_pendingProposals, {});
+    for (auto& [index, proposal] : proposals)
+        proposal.handler(nullptr);
+    auto confirmations = std::exchange(m_pendingConfirmations, {});
+    for (auto& confirmation : confirmations) {
+        logEvent("change_unconfirmed", { { "revision", confirmation.revision }, { "why", m_storageFailed ? "storage_failed" : "leadership_lost" } });
+        confirmation.handler(false);
     }
 }
 
-void control_node::followLeadership()
+void control_node::updateLeadership()
 {
-    // This replica leads once it knows all that was ever acknowledged, not as soon as it is elected.
-    bool leads = !m_storageFailed && core().hasCommittedInTerm();
-    if (leads == m_leads)
+    // A newly elected leader acts as such only after committing in its term: only then does it know every acknowledged entry.
+    bool isLeader = !m_storageFailed && core().hasCommittedInTerm();
+    if (isLeader == m_isLeader)
         return;
-    m_leads = leads;
-    m_assigning = false;
-    if (!leads) {
+    m_isLeader = isLeader;
+    m_assignmentPending = false;
+    if (!isLeader) {
         logEvent("leadership_lost", { { "term", core().term() } });
         m_sessions.reset();
-        failPending();
+        failPendingRequests();
         return;
     }
     m_sessions.emplace(m_clock.now());
@@ -242,76 +242,76 @@
     m_pushedShards = m_state.shardVersion();
     m_pushedPoison = m_state.poisonVersion();
     m_pushedLive = 0;
-    m_shardsWantedSince = m_clock.now();
+    m_leaderSince = m_clock.now();
     m_metrics.count("leadership_gained");
-    noteEvent(m_self.vm(), fmt::format("leads the control log in term {}", core().term()));
+    addEvent(m_self.vm(), fmt::format("became leader of the control log in term {}", core().term()));
 }
 
-void control_node::compactIfLong()
+void control_node::compactLogIfNeeded()
 {
-    if (m_storageFailed || m_applied < core().log().baseIndex() + logEntriesKept)
+    if (m_storageFailed || m_appliedIndex < core().log().baseIndex() + compactionThreshold)
         return;
-    auto compacted = m_host->compact(m_applied, m_state.save());
+    auto compacted = m_host->compact(m_appliedIndex, m_state.save());
     if (compacted)
         return;
-    onStorageFailure(compacted.error().message);
-    followLeadership();
+    handleStorageFailure(compacted.error().message);
+    updateLeadership();
 }
 
-void control_node::submit(wire::submit_batch batch, std::function<void(submit_answer)> answer)
+void control_node::submit(wire::submit_batch batch, std::function<void(submit_response)> handler)
 {
-    if (!m_leads || !core().leaseValid(m_clock.now())) {
-        answer({ "not_leader", {}, false });
+    if (!m_isLeader || !core().leaseValid(m_clock.now())) {
+        handler({ "not_leader", {}, false });
         return;
     }
     auto common = m_sessions->commonSchemaVersion(newestSchemaVersion);
     for (const auto& record : batch.records()) {
-        // A process that can't decode a record would go on without it while others act on it.
+        // A process that can't decode a record would ignore it while others apply it.
         if (record.removed() || record.schema_version() <= common)
             continue;
-        answer({ "", { submit_status::Invalid, 0, fmt::format("{} \"{}\": schema_version {} is not yet understood by every process (all know up to {}); finish the upgrade first", record.kind(), record.name(), record.schema_version(), common) }, false });
+        handler({ "", { submit_status::Invalid, 0, fmt::format("{} \"{}\": schema_version {} is not yet understood by every process (all know up to {}); finish the upgrade first", record.kind(), record.name(), record.schema_version(), common) }, false });
         return;
     }
     wire::command command;
     *command.mutable_submit() = std::move(batch);
-    propose(command, [this, answer = std::move(answer)](const apply_outcome* outcome) {
+    propose(command, [this, handler = std::move(handler)](const apply_outcome* outcome) {
         if (!outcome) {
-            answer({ "outcome_unknown", {}, false });
+            handler({ "outcome_unknown", {}, false });
             return;
         }
         const auto& submitted = *outcome->submit;
         if (submitted.status == submit_status::Conflict || submitted.status == submit_status::Invalid) {
-            answer({ "", submitted, false });
+            handler({ "", submitted, false });
             return;
         }
-        noteEvent(m_self.vm(), fmt::format("accepted revision {}", submitted.revision));
-        m_awaiting.push_back({ submitted.revision, m_clock.now() + forceTimeout, [answer, submitted](bool inForce) { answer({ "", submitted, inForce }); } });
+        addEvent(m_self.vm(), fmt::format("accepted revision {}", submitted.revision));
+        m_pendingConfirmations.push_back({ submitted.revision, m_clock.now() + confirmationTimeout, [handler, submitted](bool inForce) { handler({ "", submitted, inForce }); } });
     });
-    settle();
+    processUpdates();
 }
 
-void control_node::readThroughQuorum(std::function<void(bool)> answer)
+void control_node::readThroughQuorum(std::function<void(bool)> handler)
 {
     if (m_storageFailed) {
-        answer(false);
+        handler(false);
         return;
     }
-    m_reads[++m_lastRead] = std::move(answer);
-    core().read(m_lastRead);
-    settle();
+    m_pendingReads[++m_lastReadId] = std::move(handler);
+    core().read(m_lastReadId);
+    processUpdates();
 }
 
-void control_node::onLedger(const wire::envelope& message)
+void control_node::handleLedgerCommand(const wire::envelope& message)
 {
-    auto answer = [this, call = message](wire::ledger_reply reply) {
+    auto sendReply = [this, call = message](wire::ledger_reply reply) {
         wire::envelope envelope;
         *envelope.mutable_ledger_reply() = std::move(reply);
         m_loop.wire().reply(call, envelope);
     };
     wire::ledger_reply unavailable;
     unavailable.set_unavailable(true);
-    if (!m_leads) {
-        answer(unavailable);
+    if (!m_isLeader) {
+        sendReply(unavailable);
         return;
     }
     wire::command command;
@@ -319,24 +319,24 @@
         *command.mutable_ledger_begin() = message.ledger_begin();
     else
         *command.mutable_ledger_finish() = message.ledger_finish();
-    propose(command, [this, answer, unavailable](const apply_outcome* outcome) {
+    propose(command, [this, sendReply, unavailable](const apply_outcome* outcome) {
         if (!outcome) {
-            answer(unavailable);
+            sendReply(unavailable);
             return;
         }
         auto reply = *outcome->ledger;
-        // The entry that ran the call is gone, so nobody will ever tell how it ended.
+        // The entry that ran the call has terminated, so its outcome will never be reported.
         bool orphaned = reply.state() == wire::LEDGER_RUNNING && !reply.granted() && !reply.owner().empty()
             && m_sessions && m_sessions->settled(m_clock.now()) && !m_sessions->isLive(reply.owner(), reply.owner_incarnation());
         if (orphaned)
             reply.set_state(wire::LEDGER_UNKNOWN);
-        answer(std::move(reply));
+        sendReply(std::move(reply));
     });
 }
 
-void control_node::onCrash(const wire::envelope& message)
+void control_node::handleCrashReport(const wire::envelope& message)
 {
-    if (!m_leads)
+    if (!m_isLeader)
         return;
     wire::command command;
     *command.mutable_crash() = message.crash();
@@ -344,80 +344,80 @@
     propose(command, [this, call = message](const apply_outcome* outcome) {
         if (!outcome)
             return;
-        noteEvent(call.sender(), fmt::format("endpoint {} crashed on request {} (crash {} of this request)", call.crash().endpoint(), call.crash().request_id(), *outcome->crashes));
+        addEvent(call.sender(), fmt::format("endpoint {} crashed while running request {} (crash {} of this request)", call.crash().endpoint(), call.crash().request_id(), *outcome->crashes));
         wire::envelope envelope;
         envelope.mutable_crash_reply()->set_crashes(*outcome->crashes);
         m_loop.wire().reply(call, envelope);
     });
 }
 
-void control_node::noteEvent(const std::string& process, const std::string& text)
+void control_node::addEvent(const std::string& process, const std::string& text)
 {
     wire::process_event event;
     event.set_at_ms(wallClock().count());
     event.set_process(process);
     event.set_text(text);
-    keepEvent(event);
+    storeEvent(event);
 }
 
-void control_node::keepEvent(const wire::process_event& event)
+void control_node::storeEvent(const wire::process_event& event)
 {
     m_events.push_back(event);
-    if (m_events.size() > mostEventsKept)
+    if (m_events.size() > maxEvents)
         m_events.pop_front();
     logEvent("noted", { { "process", event.process() }, { "text", event.text() } });
 }
 
-void control_node::explain(const std::string& requestId, std::function<void(std::optional<std::vector<std::string>>)> answer)
+void control_node::explain(const std::string& requestId, std::function<void(std::optional<std::vector<std::string>>)> handler)
 {
-    // A request id begins with the name of the VM whose entry gave it.
+    // A request id starts with the name of the VM whose entry assigned it.
     auto vm = requestId.substr(0, requestId.find('.'));
     std::string address;
     if (m_sessions) {
-        for (const auto& [key, one] : m_sessions->sessions()) {
-            if (one.process.kind() == wire::PROCESS_ENTRY && one.process.name() == vm)
-                address = one.process.address();
+        for (const auto& [key, session] : m_sessions->sessions()) {
+            if (session.process.kind() == wire::PROCESS_ENTRY && session.process.name() == vm)
+                address = session.process.address();
         }
     }
     if (address.empty()) {
-        answer(std::nullopt);
+        handler(std::nullopt);
         return;
     }
     wire::envelope message;
     message.mutable_explain()->set_request_id(requestId);
-    m_loop.call(address, message, explainTimeout, [answer](const wire::envelope* reply) {
+    m_loop.call(address, message, statusTimeout, [handler](const wire::envelope* reply) {
         if (!reply || !reply->has_explain_reply()) {
-            answer(std::nullopt);
+            handler(std::nullopt);
             return;
         }
         const auto& lines = reply->explain_reply().lines();
-        answer(std::vector<std::string>(lines.begin(), lines.end()));
+        handler(std::vector<std::string>(lines.begin(), lines.end()));
     });
 }
 
-void control_node::schedulerLines(std::function<void(std::vector<std::string>)> answer)
+void control_node::requestSchedulerStatus(std::function<void(std::vector<std::string>)> handler)
 {
-    struct gathering {
-        std::size_t open = 0;
+    struct collected_status {
+        std::size_t pendingReplies = 0;
         std::vector<std::string> lines;
     };
-    auto gathered = std::make_shared<gathering>();
+    auto collected = std::make_shared<collected_status>();
     std::vector<std::string> addresses;
     for (const auto& process : m_sessions ? m_sessions->live() : std::vector<wire::live_process>()) {
         if (process.kind() == wire::PROCESS_SCHEDULER)
             addresses.push_back(process.address());
     }
-    gathered->open = addresses.size();
+    collected->pendingReplies = addresses.size();
     if (addresses.empty())
-        answer({});
+        handler({});
     for (const auto& address : addresses) {
         wire::envelope message;
         message.mutable_scheduler_status();
-        m_loop.call(address, message, explainTimeout, [gathered, answer](const wire::envelope* reply) {
+        m_loop.call(address, message, statusTimeout, [collected, handler](const wire::envelope* reply) {
             if (reply && reply->has_scheduler_status_reply())
-                gathered->lines.insert(gathered->lines.end(), reply->scheduler_status_reply().lines().begin(), reply->scheduler_status_reply().lines().end());
-            if (--gathered->open == 0)
-                answer(gathered->lines);
+                collected->lines.insert(collected->lines.end(), reply->scheduler_status_reply().lines().begin(), reply->scheduler_status_reply().lines().end());
+            if (--collected->pendingReplies == 0)
+                handler(collected->lines);
         });
     }
 }
--- a/Source/control/control_node.h
+++ b/Source/control/control_node.h
@@ -38,32 +38,32 @@
     std::variant<file_log_store, memory_log_store> m_store;
 };
 
-/// A replica as its storage holds it.
+/// A replica with the state read from its storage.
 struct opened_replica {
     wire::replica_id self;
     replica_store store;
     raft_restored restored;
 };
-/// Opens the storage, again after a write or sync failed. Errors: the storage can't be used yet.
+/// Opens the storage, or reopens it after a failed write or sync. Errors: the storage is still unusable.
 using replica_opener = std::function<result<opened_replica>(bool afterFailure)>;
 
-/// What a submission came to, for the operator who waits.
-struct submit_answer {
-    /// Empty when the log took it; else why not.
+/// The result of a submission, as returned to the operator.
+struct submit_response {
+    /// Empty if the batch was committed to the log; otherwise the error code.
     std::string unavailable;
     submit_outcome outcome;
     bool inForce = false;
 };
 
-/// A new replica whose log is in memory only. Thread safety: any thread.
-opened_replica memoryReplica(const wire_settings& wire);
+/// Creates a replica whose log is in memory only. Thread safety: any thread.
+opened_replica makeMemoryReplica(const wire_settings& wire);
 
-/// One control VM: a replica of the log, and while it leads the sessions, shard owners and answers to operators. While its
-/// storage can't be used it takes no part in the log, and opens the storage again and again.
-/// Thread safety: everything happens on the control thread; other threads post to its loop.
+/// One control VM: a replica of the log which, while leader, also manages sessions and shard owners and serves operators.
+/// While its storage is unusable it doesn't take part in the log and retries to open the storage.
+/// Thread safety: control thread only; other threads post to its loop.
 class control_node {
 public:
-    struct parts {
+    struct dependencies {
         control_loop& loop;
         const clock_source& clock;
         metrics& counters;
@@ -74,25 +74,25 @@
         /// Precondition: if set, `replica` holds a value.
         bool bootstrap = false;
     };
-    explicit control_node(parts given);
+    explicit control_node(dependencies deps);
 
     void onMessage(const wire::envelope& message);
     void tick();
 
-    /// Submits a batch; the answer comes when it is in force everywhere, or refused.
-    void submit(wire::submit_batch batch, std::function<void(submit_answer)> answer);
-    /// Calls back with whether the state read now holds all that was ever acknowledged.
-    void readThroughQuorum(std::function<void(bool current)> answer);
-    /// Precondition: called inside a readThroughQuorum answer or for a report only.
+    /// Submits a batch. Calls back once the batch is in force everywhere, was rejected, or could not be confirmed.
+    void submit(wire::submit_batch batch, std::function<void(submit_response)> handler);
+    /// Linearizable read: calls back with whether the state now includes every acknowledged change.
+    void readThroughQuorum(std::function<void(bool current)> handler);
+    /// Precondition: called from a readThroughQuorum() handler, or for status output only.
     const control_state& state() const { return m_state; }
-    bool leads() const { return m_leads; }
-    /// Reports for operators.
+    bool isLeader() const { return m_isLeader; }
+    /// Status output for operators.
     std::string statusJson() const;
     std::string eventsJson() const;
-    /// Asks the entry that handled a request what it did.
-    void explain(const std::string& requestId, std::function<void(std::optional<std::vector<std::string>>)> answer);
-    /// Asks each scheduler for its pools; lines gathered so far come back at the timeout.
-    void schedulerLines(std::function<void(std::vector<std::string>)> answer);
+    /// Fetches the history of a request from the entry that handled it.
+    void explain(const std::string& requestId, std::function<void(std::optional<std::vector<std::string>>)> handler);
+    /// Fetches the pool status of each scheduler. Schedulers that don't reply in time are left out.
+    void requestSchedulerStatus(std::function<void(std::vector<std::string>)> handler);
 
 private:
     using proposal_handler = std::function<void(const apply_outcome* outcome)>;
@@ -100,64 +100,64 @@
         std::uint64_t term;
         proposal_handler handler;
     };
-    struct awaiting_force {
+    struct pending_confirmation {
         std::uint64_t revision;
         time_point deadline;
-        std::function<void(bool inForce)> answer;
+        std::function<void(bool inForce)> handler;
     };
 
     raft_core& core() { return m_host->core(); }
     const raft_core& core() const { return m_host->core(); }
-    raft_effects effects();
+    raft_effects makeCallbacks();
     void restore(opened_replica replica);
-    void onStorageFailure(const std::string& why);
+    void handleStorageFailure(const std::string& why);
     void reopenStorage();
     void propose(const wire::command& command, proposal_handler handler);
     void apply(const wire::log_entry& entry);
-    void settle();
-    void drain();
-    void compactIfLong();
-    void followLeadership();
-    void failPending();
-    void sendJoin();
+    void processUpdates();
+    void processReady();
+    void compactLogIfNeeded();
+    void updateLeadership();
+    void failPendingRequests();
+    void sendJoinRequest();
 
-    // While leading.
-    void onHeartbeat(const wire::envelope& message);
-    void fillGrant(wire::session_grant& grant, std::uint64_t revision, std::uint64_t shardVersion, std::uint64_t poisonVersion, std::uint64_t liveVersion) const;
+    // Leader only.
+    void handleHeartbeat(const wire::envelope& message);
+    void buildGrant(wire::session_grant& grant, std::uint64_t revision, std::uint64_t shardVersion, std::uint64_t poisonVersion, std::uint64_t liveVersion) const;
     void pushChanges();
-    void stepSessions();
-    void assignOwners();
-    std::vector<std::string> wantedShards() const;
-    void answerAwaiting();
-    void expireLedger();
-    void onLedger(const wire::envelope& message);
-    void onCrash(const wire::envelope& message);
-    void noteEvent(const std::string& process, const std::string& text);
-    void keepEvent(const wire::process_event& event);
-    bool mayGrant() const;
+    void updateSessions();
+    void assignShardOwners();
+    std::vector<std::string> listRequiredShards() const;
+    void completeSubmissions();
+    void expireLedgerEntries();
+    void handleLedgerCommand(const wire::envelope& message);
+    void handleCrashReport(const wire::envelope& message);
+    void addEvent(const std::string& process, const std::string& text);
+    void storeEvent(const wire::process_event& event);
+    bool canGrantLeases() const;
 
     control_loop& m_loop;
     const clock_source& m_clock;
     metrics& m_metrics;
     wire_settings m_wire;
     wire::replica_id m_self;
-    replica_opener m_open;
+    replica_opener m_openReplica;
     std::optional<raft_host<replica_store>> m_host;
     bool m_storageFailed = false;
     time_point m_reopenAt {};
     control_state m_state;
-    std::uint64_t m_applied = 0;
-    bool m_leads = false;
+    std::uint64_t m_appliedIndex = 0;
+    bool m_isLeader = false;
     std::optional<session_table> m_sessions;
-    std::map<std::uint64_t, pending_proposal> m_pending;
-    std::map<std::uint64_t, std::function<void(bool)>> m_reads;
-    std::uint64_t m_lastRead = 0;
-    std::vector<awaiting_force> m_awaiting;
+    std::map<std::uint64_t, pending_proposal> m_pendingProposals;
+    std::map<std::uint64_t, std::function<void(bool)>> m_pendingReads;
+    std::uint64_t m_lastReadId = 0;
+    std::vector<pending_confirmation> m_pendingConfirmations;
     std::deque<wire::process_event> m_events;
-    time_point m_nextJoin {};
-    time_point m_nextExpiry {};
-    time_point m_shardsWantedSince {};
-    bool m_assigning = false;
+    time_point m_nextJoinRequest {};
+    time_point m_nextLedgerExpiry {};
+    time_point m_leaderSince {};
+    bool m_assignmentPending = false;
     std::uint64_t m_pushedRevision = 0;
     std::uint64_t m_pushedShards = 0;
     std::uint64_t m_pushedLive = 0;
--- a/Source/control/control_sessions.cpp
+++ b/Source/control/control_sessions.cpp
@@ -1,4 +1,4 @@
-// What a control replica does for entries and schedulers while it leads.
+// The leader's side of sessions with entries and schedulers.
 #include "control/control_node.h"
 
 #include <algorithm>
@@ -6,27 +6,27 @@
 namespace pistachiolatch {
 
 namespace {
-    /// The first schedulers to come wait this long for the others, so that the shards spread.
-    constexpr milliseconds gatherSchedulers { 1000 };
+    /// A new leader waits this long for schedulers to connect, so that shards are spread over all of them.
+    constexpr milliseconds schedulerGracePeriod { 1000 };
     constexpr milliseconds ledgerExpiryInterval { 60000 };
-    /// Keys are remembered for a day, answers for an hour: answers are what takes the memory.
-    constexpr auto keyLifetime = std::chrono::hours(24);
-    constexpr auto answerLifetime = std::chrono::hours(1);
+    /// Idempotency keys are kept for a day, but responses only for an hour since they take most of the memory.
+    constexpr auto keyRetention = std::chrono::hours(24);
+    constexpr auto responseRetention = std::chrono::hours(1);
 }
 
-bool control_node::mayGrant() const
+bool control_node::canGrantLeases() const
 {
-    return m_leads && core().leaseValid(m_clock.now());
+    return m_isLeader && core().leaseValid(m_clock.now());
 }
 
-void control_node::onHeartbeat(const wire::envelope& message)
+void control_node::handleHeartbeat(const wire::envelope& message)
 {
     const auto& beat = message.heartbeat();
     wire::envelope envelope;
     envelope.set_receiver_incarnation(message.sender_incarnation());
     auto* grant = envelope.mutable_grant();
-    // A leader whose own lease has run out may have a successor that no longer waits for the leases given here.
-    if (!mayGrant()) {
+    // After the leader's own lease has expired, a successor may no longer wait for leases granted here.
+    if (!canGrantLeases()) {
         grant->set_refused(true);
         const auto& leader = core().leader();
         if (leader && keyOf(*leader) != keyOf(m_self))
@@ -39,14 +39,14 @@
         return;
     }
     for (const auto& event : beat.events())
-        keepEvent(event);
-    fillGrant(*grant, beat.applied_revision(), beat.shard_version(), beat.poison_version(), beat.live_version());
+        storeEvent(event);
+    buildGrant(*grant, beat.applied_revision(), beat.shard_version(), beat.poison_version(), beat.live_version());
     grant->set_echo_ns(beat.sent_ns());
     grant->set_lease_ms(static_cast<std::uint32_t>(leaseOf(beat.kind()).count()));
     m_loop.wire().send(message.sender_address(), envelope);
 }
 
-void control_node::fillGrant(wire::session_grant& grant, std::uint64_t revision, std::uint64_t shardVersion, std::uint64_t poisonVersion, std::uint64_t liveVersion) const
+void control_node::buildGrant(wire::session_grant& grant, std::uint64_t revision, std::uint64_t shardVersion, std::uint64_t poisonVersion, std::uint64_t liveVersion) const
 {
     grant.set_leader_term(core().term());
     grant.set_revision(m_state.revision());
@@ -74,16 +74,16 @@
 {
     bool changed = m_pushedRevision != m_state.revision() || m_pushedShards != m_state.shardVersion()
         || m_pushedPoison != m_state.poisonVersion() || m_pushedLive != m_sessions->liveVersion();
-    if (!changed || !mayGrant())
+    if (!changed || !canGrantLeases())
         return;
-    // Without an echo the message renews no lease; it only brings the news before the next heartbeat would.
-    for (const auto& [key, one] : m_sessions->sessions()) {
-        if (one.lapsed)
+    // Without echo_ns the grant renews no lease; it only delivers changes before the next heartbeat.
+    for (const auto& [key, session] : m_sessions->sessions()) {
+        if (session.lapsed)
             continue;
         wire::envelope envelope;
-        envelope.set_receiver_incarnation(one.process.incarnation());
-        fillGrant(*envelope.mutable_grant(), std::min(one.appliedRevision, m_pushedRevision), m_pushedShards, m_pushedPoison, m_pushedLive);
-        m_loop.wire().send(one.process.address(), envelope);
+        envelope.set_receiver_incarnation(session.process.incarnation());
+        buildGrant(*envelope.mutable_grant(), std::min(session.appliedRevision, m_pushedRevision), m_pushedShards, m_pushedPoison, m_pushedLive);
+        m_loop.wire().send(session.process.address(), envelope);
     }
     m_pushedRevision = m_state.revision();
     m_pushedShards = m_state.shardVersion();
@@ -91,76 +91,76 @@
     m_pushedLive = m_sessions->liveVersion();
 }
 
-void control_node::stepSessions()
+void control_node::updateSessions()
 {
     for (const auto& key : m_sessions->expire(m_clock.now()))
-        noteEvent(key, "its lease ran out without a heartbeat");
-    assignOwners();
+        addEvent(key, "lease expired without a heartbeat");
+    assignShardOwners();
     pushChanges();
-    answerAwaiting();
-    expireLedger();
+    completeSubmissions();
+    expireLedgerEntries();
 }
 
-std::vector<std::string> control_node::wantedShards() const
+std::vector<std::string> control_node::listRequiredShards() const
 {
-    std::vector<std::string> wanted;
+    std::vector<std::string> required;
     for (const auto& model : m_state.namesOf("model"))
-        wanted.push_back(modelShard(model));
+        required.push_back(modelShard(model));
     for (const auto& service : m_state.namesOf("service"))
-        wanted.push_back(serviceShard(service));
+        required.push_back(serviceShard(service));
     for (std::uint32_t i = 0; i < limitShardCount; ++i)
-        wanted.push_back(fmt::format("limit:{}", i));
-    return wanted;
+        required.push_back(fmt::format("limit:{}", i));
+    return required;
 }
 
-void control_node::assignOwners()
+void control_node::assignShardOwners()
 {
-    if (m_assigning || m_clock.now() - m_shardsWantedSince < gatherSchedulers)
+    if (m_assignmentPending || m_clock.now() - m_leaderSince < schedulerGracePeriod)
         return;
-    auto owners = assignShards(wantedShards(), m_state.shards(), *m_sessions, m_clock.now());
+    auto owners = assignShards(listRequiredShards(), m_state.shards(), *m_sessions, m_clock.now());
     if (owners.empty())
         return;
     wire::command command;
     for (const auto& owner : owners)
         *command.mutable_assign()->add_owners() = owner;
-    m_assigning = true;
+    m_assignmentPending = true;
     propose(command, [this, owners](const apply_outcome* outcome) {
-        m_assigning = false;
+        m_assignmentPending = false;
         if (!outcome)
             return;
         for (const auto& owner : owners)
-            noteEvent(owner.scheduler(), fmt::format("owns shard {} from now on", owner.shard()));
+            addEvent(owner.scheduler(), fmt::format("now owns shard {}", owner.shard()));
     });
 }
 
-void control_node::answerAwaiting()
+void control_node::completeSubmissions()
 {
-    std::vector<awaiting_force> due;
-    std::erase_if(m_awaiting, [&](awaiting_force& one) {
-        bool done = m_sessions->inForce(one.revision, m_clock.now()) || m_clock.now() >= one.deadline;
+    std::vector<pending_confirmation> due;
+    std::erase_if(m_pendingConfirmations, [&](pending_confirmation& confirmation) {
+        bool done = m_sessions->inForce(confirmation.revision, m_clock.now()) || m_clock.now() >= confirmation.deadline;
         if (done)
-            due.push_back(std::move(one));
+            due.push_back(std::move(confirmation));
         return done;
     });
-    for (auto& one : due) {
+    for (auto& confirmation : due) {
         auto now = m_clock.now();
-        bool inForce = m_sessions->inForce(one.revision, now);
+        bool inForce = m_sessions->inForce(confirmation.revision, now);
         if (!inForce)
-            logEvent("change_unconfirmed", { { "revision", one.revision }, { "why", "timeout" }, { "behind", m_sessions->processesBehind(one.revision, now) }, { "settled", m_sessions->settled(now) ? 1 : 0 } });
-        one.answer(inForce);
+            logEvent("change_unconfirmed", { { "revision", confirmation.revision }, { "why", "timeout" }, { "behind", m_sessions->processesBehind(confirmation.revision, now) }, { "settled", m_sessions->settled(now) ? 1 : 0 } });
+        confirmation.handler(inForce);
     }
 }
 
-void control_node::expireLedger()
+void control_node::expireLedgerEntries()
 {
-    if (m_clock.now() < m_nextExpiry)
+    if (m_clock.now() < m_nextLedgerExpiry)
         return;
-    m_nextExpiry = m_clock.now() + ledgerExpiryInterval;
+    m_nextLedgerExpiry = m_clock.now() + ledgerExpiryInterval;
     if (m_state.calls().size() == 0)
         return;
     wire::command command;
-    command.mutable_expire()->set_before_ms((wallClock() - keyLifetime).count());
-    command.mutable_expire()->set_answers_before_ms((wallClock() - answerLifetime).count());
+    command.mutable_expire()->set_before_ms((wallClock() - keyRetention).count());
+    command.mutable_expire()->set_answers_before_ms((wallClock() - responseRetention).count());
     propose(command, [](const apply_outcome*) {});
 }
 } // namespace pistachiolatch
--- a/Source/control/main.cpp
+++ b/Source/control/main.cpp
@@ -25,12 +25,12 @@
         return reader.finish();
     }
 
-    /// A control process: a replica of the log and the operators' interface.
+    /// A control process: a replica of the log and the operator API.
     class control_process : public wired_process {
     public:
         control_settings settings;
-        /// Begin a new log. A flag and no setting: left in a settings file it would let a VM whose disk was
-        /// replaced begin a second log beside the first.
+        /// Creates a new log. A command-line flag and not a setting: left in a settings file, it would make a VM whose
+        /// disk was replaced create a second log beside the first.
         bool bootstrap = false;
 
         result<void> start()
@@ -42,7 +42,7 @@
                 return failure { fmt::format("{}: already holds a log; start without --bootstrap", settings.dataFolder) };
             addCore("pistachiolatch-control", settings.wire, 1);
             auto& loop = registry.find<control_loop>(loopService);
-            m_node = std::make_unique<control_node>(control_node::parts { loop, clock, counters, settings.wire, std::move(opened), [this](bool afterFailure) { return openStorage(afterFailure); }, bootstrap });
+            m_node = std::make_unique<control_node>(control_node::dependencies { loop, clock, counters, settings.wire, std::move(opened), [this](bool afterFailure) { return openStorage(afterFailure); }, bootstrap });
             loop.onMessage([this](const wire::envelope& message) { m_node->onMessage(message); });
             loop.onTick([this] { m_node->tick(); });
             m_operators = std::make_unique<operator_api>(registry.find<traffic_threads>(trafficService), loop, *m_node, counters, settings.operators);
@@ -64,9 +64,9 @@
         {
             if (settings.dataFolder.empty()) {
                 if (bootstrap)
-                    return failure { "--bootstrap needs control.data_folder: the first replica of a log must be on a disk" };
-                // Without a disk nothing of an earlier run is left, so this is a new replica.
-                return memoryReplica(settings.wire);
+                    return failure { "--bootstrap requires control.data_folder: the first replica of a log must be stored on disk" };
+                // Without a disk nothing is left of an earlier run, so this is a new replica.
+                return makeMemoryReplica(settings.wire);
             }
             file_log_store files;
             BOOST_OUTCOME_TRY(auto stored, afterFailure ? files.openAfterFailure(settings.dataFolder) : files.open(settings.dataFolder));
@@ -92,8 +92,8 @@
     using namespace pistachiolatch;
     control_process process;
     return runProgram(argc, argv, PISTACHIOLATCH_VERSION,
-        { "pistachiolatch-control", "Holds the records, keys, leases and the at-most-once ledger of a pistachiolatch fleet.",
+        { "pistachiolatch-control", "Stores the records, keys, leases and at-most-once ledger of a pistachiolatch fleet.",
             [&](settings_reader& reader) { return readSettings(reader, process.settings); },
             [&] { return process.start(); }, [&] { process.stop(); },
-            { { "--bootstrap", "begin a new log on this VM; once in the life of a fleet", &process.bootstrap } } });
+            { { "--bootstrap", "create a new log on this VM; only once per fleet", &process.bootstrap } } });
 }
--- a/Source/control/operator_api.cpp
+++ b/Source/control/operator_api.cpp
@@ -10,7 +10,7 @@
     constexpr const char* jsonType = "application/json";
     constexpr std::string_view bearer = "Bearer ";
     constexpr std::string_view explainPrefix = "/v1/explain/";
-    constexpr milliseconds answerTimeout { 15000 };
+    constexpr milliseconds responseTimeout { 15000 };
 
     std::string errorJson(const std::string& code, const std::string& message)
     {
@@ -25,29 +25,29 @@
         return boost::json::serialize(body);
     }
 
-    std::string submitJson(const std::string& status, const submit_answer& answer)
+    std::string submitJson(const std::string& status, const submit_response& response)
     {
         boost::json::object body;
         body["status"] = status;
-        body["revision"] = answer.outcome.revision;
-        body["in_force"] = answer.inForce;
-        if (!answer.outcome.message.empty())
-            body["message"] = answer.outcome.message;
+        body["revision"] = response.outcome.revision;
+        body["in_force"] = response.inForce;
+        if (!response.outcome.message.empty())
+            body["message"] = response.outcome.message;
         return boost::json::serialize(body);
     }
 
-    http_refusal refusal(reason why)
+    http_refusal makeErrorResponse(reason why)
     {
         return { httpStatus(why), jsonType, errorJson(std::string(reasonName(why)), std::string(reasonAdvice(why))), {} };
     }
 
-    std::string statusName(const submit_answer& answer)
+    std::string statusName(const submit_response& response)
     {
-        if (answer.outcome.status == submit_status::Conflict)
+        if (response.outcome.status == submit_status::Conflict)
             return "conflict";
-        if (answer.outcome.status == submit_status::Invalid)
+        if (response.outcome.status == submit_status::Invalid)
             return "invalid";
-        return answer.outcome.status == submit_status::AlreadyAccepted ? "already_accepted" : "accepted";
+        return response.outcome.status == submit_status::AlreadyAccepted ? "already_accepted" : "accepted";
     }
 }
 
@@ -57,26 +57,26 @@
     , m_metrics(counters)
     , m_operators(std::move(operators))
     , m_server(
-          threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, refusal)
+          threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, makeErrorResponse)
 {
 }
 
-std::string operator_api::operatorOf(const http_exchange& exchange) const
+std::string operator_api::authenticate(const http_exchange& exchange) const
 {
     auto header = exchange.header("Authorization");
     if (!header.starts_with(bearer))
         return {};
     auto digest = sha256Hex(std::string_view(header).substr(bearer.size()));
-    for (const auto& one : m_operators) {
-        if (equalConstantTime(one.tokenSha256, digest))
-            return one.name;
+    for (const auto& credential : m_operators) {
+        if (equalConstantTime(credential.tokenSha256, digest))
+            return credential.name;
     }
     return {};
 }
 
 task_of<void> operator_api::handle(http_exchange& exchange)
 {
-    auto submitter = operatorOf(exchange);
+    auto submitter = authenticate(exchange);
     if (submitter.empty()) {
         m_metrics.count("operator_refused");
         co_await exchange.respond(401, jsonType, errorJson("unknown_token", "Send an operator's token as Authorization: Bearer TOKEN."));
@@ -84,39 +84,39 @@
     }
     auto path = exchange.path();
     if (path == "/v1/records" && exchange.method() == "POST")
-        co_await submit(exchange, submitter);
+        co_await handleSubmit(exchange, submitter);
     else if (path.starts_with(explainPrefix) && exchange.method() == "GET")
-        co_await explain(exchange, path.substr(explainPrefix.size()));
+        co_await handleExplain(exchange, path.substr(explainPrefix.size()));
     else if ((path == "/v1/records" || path == "/v1/status" || path == "/v1/events" || path == "/v1/pools") && exchange.method() == "GET")
-        co_await read(exchange);
+        co_await handleRead(exchange);
     else
         co_await exchange.respond(404, jsonType, errorJson("not_found", "Use /v1/records, /v1/status, /v1/pools, /v1/events or /v1/explain/ID."));
 }
 
-task_of<void> operator_api::submit(http_exchange& exchange, const std::string& submitter)
+task_of<void> operator_api::handleSubmit(http_exchange& exchange, const std::string& submitter)
 {
     auto batch = batchFromJson(exchange.message().body(), submitter);
     if (!batch) {
         co_await exchange.respond(400, jsonType, errorJson("invalid", batch.error().message));
         co_return;
     }
-    pending_reply<submit_answer> pending(co_await boost::asio::this_coro::executor);
+    pending_reply<submit_response> pending(co_await boost::asio::this_coro::executor);
     m_loop.post([this, records = batch.value(), complete = pending.completer()] { m_node.submit(records, complete); });
-    auto answer = co_await pending.wait(answerTimeout);
-    if (!answer || !answer->unavailable.empty()) {
-        auto code = answer ? answer->unavailable : std::string("outcome_unknown");
-        auto advice = code == "not_leader" ? "This control VM does not lead; ask another." : "No quorum answered in time; submit the same records again, a resend is accepted once.";
+    auto response = co_await pending.wait(responseTimeout);
+    if (!response || !response->unavailable.empty()) {
+        auto code = response ? response->unavailable : std::string("outcome_unknown");
+        auto advice = code == "not_leader" ? "This control VM is not the leader; try another one." : "No quorum replied in time; submit the same records again. Resubmitting is safe: they are applied only once.";
         co_await exchange.respond(503, jsonType, errorJson(code, advice));
         co_return;
     }
-    auto name = statusName(*answer);
+    auto name = statusName(*response);
     unsigned status = name == "conflict" ? 409 : name == "invalid" ? 400
                                                                    : 200;
     m_metrics.count("submit_" + name);
-    co_await exchange.respond(status, jsonType, submitJson(name, *answer));
+    co_await exchange.respond(status, jsonType, submitJson(name, *response));
 }
 
-task_of<void> operator_api::read(http_exchange& exchange)
+task_of<void> operator_api::handleRead(http_exchange& exchange)
 {
     auto path = exchange.path();
     pending_reply<std::string> pending(co_await boost::asio::this_coro::executor);
@@ -131,30 +131,30 @@
             else if (path == "/v1/events")
                 complete(m_node.eventsJson());
             else {
-                m_node.schedulerLines([complete](const std::vector<std::string>& lines) { complete(listJson("pools", lines)); });
+                m_node.requestSchedulerStatus([complete](const std::vector<std::string>& lines) { complete(listJson("pools", lines)); });
             }
         });
     });
-    auto body = co_await pending.wait(answerTimeout);
+    auto body = co_await pending.wait(responseTimeout);
     if (!body || body->empty()) {
-        // An isolated control VM says so; it never shows an old state as the one in force.
-        co_await exchange.respond(503, jsonType, errorJson("no_quorum", "This control VM does not lead or can't reach a quorum; ask another."));
+        // An isolated control VM reports an error rather than a state that may be outdated.
+        co_await exchange.respond(503, jsonType, errorJson("no_quorum", "This control VM is not the leader or cannot reach a quorum; try another one."));
         co_return;
     }
     co_await exchange.respond(200, jsonType, *body);
 }
 
-task_of<void> operator_api::explain(http_exchange& exchange, const std::string& requestId)
+task_of<void> operator_api::handleExplain(http_exchange& exchange, const std::string& requestId)
 {
     using explanation = std::optional<std::vector<std::string>>;
     pending_reply<explanation> pending(co_await boost::asio::this_coro::executor);
     m_loop.post([this, requestId, complete = pending.completer()] {
-        if (m_node.leads())
+        if (m_node.isLeader())
             m_node.explain(requestId, complete);
         else
             complete(explanation());
     });
-    auto lines = co_await pending.wait(answerTimeout);
+    auto lines = co_await pending.wait(responseTimeout);
     if (!lines || !*lines || (*lines)->empty()) {
         co_await exchange.respond(404, jsonType, errorJson("not_found", "No live entry knows this request id; entries remember their latest requests only."));
         co_return;
--- a/Source/control/operator_json.cpp
+++ b/Source/control/operator_json.cpp
@@ -8,7 +8,7 @@
 namespace json = boost::json;
 
 namespace {
-    constexpr std::size_t mostRecordsInBatch = 10000;
+    constexpr std::size_t maxRecordsInBatch = 10000;
 
     json::object recordToJson(const wire::record& record)
     {
@@ -81,8 +81,8 @@
         BOOST_OUTCOME_TRY(auto record, recordFromJson(item, submitter));
         *batch.add_records() = std::move(record);
     }
-    if (batch.records_size() == 0 || static_cast<std::size_t>(batch.records_size()) > mostRecordsInBatch)
-        return failure { fmt::format("a batch holds 1 to {} records", mostRecordsInBatch) };
+    if (batch.records_size() == 0 || static_cast<std::size_t>(batch.records_size()) > maxRecordsInBatch)
+        return failure { fmt::format("a batch holds 1 to {} records", maxRecordsInBatch) };
     return batch;
 }
 
@@ -101,9 +101,9 @@
     status["replicas"] = std::move(replicas);
     json::array processes;
     if (m_sessions) {
-        for (const auto& [key, one] : m_sessions->sessions()) {
-            processes.push_back(json::object { { "process", key }, { "data_centre", one.process.data_centre() }, { "live", !one.lapsed },
-                { "leaving", one.process.leaving() }, { "applied_revision", one.appliedRevision }, { "schema", one.maxSchemaVersion } });
+        for (const auto& [key, session] : m_sessions->sessions()) {
+            processes.push_back(json::object { { "process", key }, { "data_centre", session.process.data_centre() }, { "live", !session.lapsed },
+                { "leaving", session.process.leaving() }, { "applied_revision", session.appliedRevision }, { "schema", session.maxSchemaVersion } });
         }
     }
     status["processes"] = std::move(processes);
--- a/Source/control/operator_json.h
+++ b/Source/control/operator_json.h
@@ -5,9 +5,9 @@
 
 namespace pistachiolatch {
 
-/// The operators' JSON form of records. Thread safety: any thread.
+/// Converts records to the JSON format of the operator API. Thread safety: any thread.
 std::string recordsToJson(const std::vector<wire::record>& records);
-/// Errors: what is malformed, in words. Bodies come out canonical.
+/// Parses a batch and brings the bodies of its records into canonical form. Errors: a description of what is malformed.
 result<wire::submit_batch> batchFromJson(const std::string& text, const std::string& submitter);
 
 } // namespace pistachiolatch
