--- a/Source/peering/peer_connection.cpp
+++ b/Source/peering/peer_connection.cpp
@@ -10,30 +10,30 @@
 namespace asio = boost::asio;
 
 namespace {
-    constexpr std::size_t lengthBytes = 4;
-    /// The largest frame: a snapshot with a configuration of the size that callers may send, with room to spare.
-    constexpr std::uint32_t mostFrameBytes = 32U * 1024 * 1024;
-    /// What may wait for a slow peer before the connection is given up; twice the largest frame.
-    constexpr std::size_t mostQueuedBytes = 2UL * mostFrameBytes;
-    constexpr std::size_t readBlock = 16UL * 1024;
-    /// Connecting inside one region takes milliseconds; a VM that is off or cut off doesn't answer at all.
+    constexpr std::size_t lengthPrefixBytes = 4;
+    /// Exceeds the largest frame, a snapshot that contains a configuration of the maximum size.
+    constexpr std::uint32_t maxFrameBytes = 32U * 1024 * 1024;
+    /// A slow peer's connection is closed if the send queue exceeds this: twice the largest frame.
+    constexpr std::size_t maxQueuedBytes = 2UL * maxFrameBytes;
+    constexpr std::size_t initialReadBufferBytes = 16UL * 1024;
+    /// Connecting within a region takes milliseconds; a VM that is down or partitioned doesn't respond at all.
     constexpr milliseconds connectTimeout { 400 };
-    /// Bytes that the peer's kernel doesn't acknowledge for this long mean that the connection is dead. Several round
-    /// trips and retransmissions fit into it.
-    constexpr unsigned unacknowledgedMs = 1500;
-    /// After this much silence a sign of life is asked for; leaders send every 60 ms, entries sync every 500 ms.
-    constexpr milliseconds silenceBeforePing { 400 };
-    /// Silence after which the connection is given up. Shorter than an election, so that a dead connection to a live
-    /// leader is replaced before its followers look for another one.
-    constexpr milliseconds silenceBeforeClose { 1000 };
+    /// The connection is dead if the peer's kernel doesn't acknowledge sent bytes within this time. Long enough for
+    /// several round trips and retransmissions.
+    constexpr unsigned tcpUserTimeoutMs = 1500;
+    /// A ping is sent after this time without a response; leaders send every 60 ms, entries sync every 500 ms.
+    constexpr milliseconds pingDelay { 400 };
+    /// The connection is closed after this time without a response. Shorter than the election timeout, so that a dead
+    /// connection to a live leader is replaced before its followers start an election.
+    constexpr milliseconds responseTimeout { 1000 };
 }
 
-peer_connection::peer_connection(asio::io_context& context, const clock_source& clock, events handlers)
+peer_connection::peer_connection(asio::io_context& context, const clock_source& clock, callbacks handlers)
     : m_socket(context)
     , m_connectTimer(context)
     , m_clock(clock)
-    , m_events(std::move(handlers))
-    , m_read(readBlock)
+    , m_callbacks(std::move(handlers))
+    , m_readBuffer(initialReadBufferBytes)
 {
 }
 
@@ -44,40 +44,40 @@
     m_connectTimer.expires_after(connectTimeout);
     m_connectTimer.async_wait([self](boost::system::error_code error) {
         if (!error && !self->m_connected)
-            self->close("connecting took too long");
+            self->close("connect timeout");
     });
     m_socket.async_connect(parseAddress(address), [self](boost::system::error_code error) {
         self->m_connectTimer.cancel();
         if (self->m_closed)
             return;
         if (error) {
-            self->close("can't connect: " + error.message());
+            self->close("cannot connect: " + error.message());
             return;
         }
-        self->begin();
+        self->startTransfer();
     });
 }
 
-void peer_connection::adopt(asio::ip::tcp::socket socket)
+void peer_connection::attach(asio::ip::tcp::socket socket)
 {
     m_socket = std::move(socket);
-    begin();
+    startTransfer();
 }
 
-void peer_connection::begin()
+void peer_connection::startTransfer()
 {
     m_connected = true;
-    applyOptions();
+    setSocketOptions();
     readMore();
     writeQueued();
 }
 
-void peer_connection::applyOptions()
+void peer_connection::setSocketOptions()
 {
     boost::system::error_code ignored;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // Without it, bytes to a VM that lost power wait for many minutes before the connection breaks.
-    ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMs, sizeof unacknowledgedMs);
+    // Without TCP_USER_TIMEOUT, a connection to a VM that lost power fails only after many minutes.
+    ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &tcpUserTimeoutMs, sizeof tcpUserTimeoutMs);
 }
 
 void peer_connection::send(const wire::envelope& message)
@@ -85,31 +85,31 @@
     if (m_closed)
         return;
     auto size = static_cast<std::uint32_t>(message.ByteSizeLong());
-    if (size > mostFrameBytes || m_queued.size() + size > mostQueuedBytes) {
-        close("too much is waiting to be sent");
+    if (size > maxFrameBytes || m_sendQueue.size() + size > maxQueuedBytes) {
+        close("send queue limit exceeded");
         return;
     }
-    auto offset = m_queued.size();
-    m_queued.resize(offset + lengthBytes + size);
-    std::memcpy(m_queued.data() + offset, &size, lengthBytes);
-    message.SerializeToArray(m_queued.data() + offset + lengthBytes, static_cast<int>(size));
-    // Replies await nothing; if they did, two idle peers would go on asking each other for signs of life.
-    bool awaitsSign = message.reply_to() == 0 && !message.has_pong();
-    if (awaitsSign && m_awaitingSince == time_point {})
-        m_awaitingSince = m_clock.now();
+    auto offset = m_sendQueue.size();
+    m_sendQueue.resize(offset + lengthPrefixBytes + size);
+    std::memcpy(m_sendQueue.data() + offset, &size, lengthPrefixBytes);
+    message.SerializeToArray(m_sendQueue.data() + offset + lengthPrefixBytes, static_cast<int>(size));
+    // Replies expect no response; otherwise two idle peers would ping each other forever.
+    bool expectsResponse = message.reply_to() == 0 && !message.has_pong();
+    if (expectsResponse && m_responseExpectedSince == time_point {})
+        m_responseExpectedSince = m_clock.now();
     writeQueued();
 }
 
 void peer_connection::writeQueued()
 {
-    if (!m_connected || m_closed || m_queued.empty() || !m_writing.empty())
+    if (!m_connected || m_closed || m_sendQueue.empty() || !m_writeBuffer.empty())
         return;
-    m_writing.swap(m_queued);
+    m_writeBuffer.swap(m_sendQueue);
     auto self = shared_from_this();
-    asio::async_write(m_socket, asio::buffer(m_writing), [self](boost::system::error_code error, std::size_t) {
-        self->m_writing.clear();
+    asio::async_write(m_socket, asio::buffer(m_writeBuffer), [self](boost::system::error_code error, std::size_t) {
+        self->m_writeBuffer.clear();
         if (error)
-            self->close("can't send: " + error.message());
+            self->close("cannot send: " + error.message());
         else
             self->writeQueued();
     });
@@ -117,72 +117,72 @@
 
 void peer_connection::readMore()
 {
-    if (m_readEnd == m_read.size())
-        m_read.resize(m_read.size() * 2);
+    if (m_readBufferEnd == m_readBuffer.size())
+        m_readBuffer.resize(m_readBuffer.size() * 2);
     auto self = shared_from_this();
-    m_socket.async_read_some(asio::buffer(m_read.data() + m_readEnd, m_read.size() - m_readEnd), [self](boost::system::error_code error, std::size_t bytes) {
+    m_socket.async_read_some(asio::buffer(m_readBuffer.data() + m_readBufferEnd, m_readBuffer.size() - m_readBufferEnd), [self](boost::system::error_code error, std::size_t bytes) {
         if (self->m_closed)
             return;
         if (error) {
-            self->close("connection ended: " + error.message());
+            self->close("connection closed: " + error.message());
             return;
         }
-        self->m_readEnd += bytes;
-        self->m_awaitingSince = {};
-        self->m_pinged = false;
-        if (self->takeFrames() && !self->m_closed)
+        self->m_readBufferEnd += bytes;
+        self->m_responseExpectedSince = {};
+        self->m_pingSent = false;
+        if (self->parseFrames() && !self->m_closed)
             self->readMore();
     });
 }
 
-bool peer_connection::takeFrames()
+bool peer_connection::parseFrames()
 {
     std::size_t offset = 0;
-    while (m_readEnd - offset >= lengthBytes) {
+    while (m_readBufferEnd - offset >= lengthPrefixBytes) {
         std::uint32_t size = 0;
-        std::memcpy(&size, m_read.data() + offset, lengthBytes);
-        if (size > mostFrameBytes) {
-            close("a frame is larger than any that is sent");
+        std::memcpy(&size, m_readBuffer.data() + offset, lengthPrefixBytes);
+        if (size > maxFrameBytes) {
+            close("received frame exceeds the size limit");
             return false;
         }
-        if (m_readEnd - offset - lengthBytes < size)
+        if (m_readBufferEnd - offset - lengthPrefixBytes < size)
             break;
         wire::envelope message;
-        if (!message.ParseFromArray(m_read.data() + offset + lengthBytes, static_cast<int>(size))) {
-            close("a frame can't be read");
+        if (!message.ParseFromArray(m_readBuffer.data() + offset + lengthPrefixBytes, static_cast<int>(size))) {
+            close("cannot parse received frame");
             return false;
         }
-        offset += lengthBytes + size;
-        m_events.message(shared_from_this(), message);
+        offset += lengthPrefixBytes + size;
+        m_callbacks.onMessage(shared_from_this(), message);
         if (m_closed)
             return false;
     }
-    std::memmove(m_read.data(), m_read.data() + offset, m_readEnd - offset);
-    m_readEnd -= offset;
-    // A snapshot may have grown the buffer; on a small VM that memory is worth having back.
-    if (m_readEnd == 0 && m_read.size() > readBlock) {
-        m_read.resize(readBlock);
-        m_read.shrink_to_fit();
+    std::memmove(m_readBuffer.data(), m_readBuffer.data() + offset, m_readBufferEnd - offset);
+    m_readBufferEnd -= offset;
+    // Returns the memory of a buffer that a snapshot has grown, which matters on small VMs.
+    if (m_readBufferEnd == 0 && m_readBuffer.size() > initialReadBufferBytes) {
+        m_readBuffer.resize(initialReadBufferBytes);
+        m_readBuffer.shrink_to_fit();
     }
     return true;
 }
 
-void peer_connection::checkSilence(time_point now)
+void peer_connection::checkTimeout(time_point now)
 {
-    if (m_closed || !m_connected || m_awaitingSince == time_point {})
+    if (m_closed || !m_connected || m_responseExpectedSince == time_point {})
         return;
-    auto silent = now - m_awaitingSince;
-    if (silent > silenceBeforeClose) {
-        close("the peer is silent");
-    } else if (silent > silenceBeforePing && !m_pinged) {
-        m_pinged = true;
+    auto waited = now - m_responseExpectedSince;
+    if (waited > responseTimeout) {
+        close("no response from peer");
+    } else if (waited > pingDelay && !m_pingSent) {
+        m_pingSent = true;
         wire::envelope message;
         message.mutable_ping();
         send(message);
     }
 }
 
-void peer_connection::close(const std::string& why)
+void peer_connection::close(const std::string& reason)
 {
     if (m_closed)
         return;
@@ -191,8 +191,8 @@
     boost::system::error_code ignored;
     m_socket.close(ignored);
     auto self = shared_from_this();
-    // Posted, since close() may be reached from inside a call of the one who holds this connection.
-    asio::post(m_socket.get_executor(), [self, why] { self->m_events.closed(self, why); });
+    // Posted, since close() may be called from within a function of the connection's owner.
+    asio::post(m_socket.get_executor(), [self, reason] { self->m_callbacks.onClosed(self, reason); });
 }
 
 } // namespace pistachiolatch
--- a/Source/peering/peer_connection.h
+++ b/Source/peering/peer_connection.h
@@ -12,53 +12,53 @@
 
 namespace pistachiolatch {
 
-/// One TCP connection that carries length-prefixed envelopes both ways. What is sent while a write is under way goes
-/// out with the next one, in a single system call. Used on the network's thread only.
+/// A TCP connection that carries length-prefixed envelopes in both directions. Messages sent during a pending write are
+/// batched into the next one, in a single system call. Thread safety: the thread of the peer_network only.
 class peer_connection : public std::enable_shared_from_this<peer_connection> {
 public:
-    struct events {
-        std::function<void(const std::shared_ptr<peer_connection>&, const wire::envelope&)> message;
-        std::function<void(const std::shared_ptr<peer_connection>&, const std::string& why)> closed;
+    struct callbacks {
+        std::function<void(const std::shared_ptr<peer_connection>&, const wire::envelope&)> onMessage;
+        std::function<void(const std::shared_ptr<peer_connection>&, const std::string& reason)> onClosed;
     };
 
-    peer_connection(boost::asio::io_context& context, const clock_source& clock, events handlers);
+    peer_connection(boost::asio::io_context& context, const clock_source& clock, callbacks handlers);
 
-    /// Connects, then sends what was queued meanwhile. Precondition: called once, instead of adopt().
+    /// Connects, then sends the messages queued meanwhile. Precondition: called once, instead of attach().
     void connect(const std::string& address);
-    /// Takes over an accepted socket.
-    void adopt(boost::asio::ip::tcp::socket socket);
-    /// Queues an envelope. One that would exceed the bound on queued bytes closes the connection instead.
+    /// Takes ownership of an accepted socket.
+    void attach(boost::asio::ip::tcp::socket socket);
+    /// Queues an envelope. Closes the connection if the envelope would exceed the limit on queued bytes.
     void send(const wire::envelope& message);
-    /// Ends the connection; the closed event follows once.
-    void close(const std::string& why);
+    /// Closes the connection; onClosed is called once, asynchronously.
+    void close(const std::string& reason);
     bool isOpen() const { return !m_closed; }
-    /// Looks for a peer that has gone silent: asks for a sign of life, then gives up.
-    void checkSilence(time_point now);
-    /// Where this connection leads; empty for an accepted one whose peer does not listen.
+    /// Detects an unresponsive peer: sends a ping, then closes the connection if nothing is received.
+    void checkTimeout(time_point now);
+    /// The peer's listening address; empty for an accepted connection whose peer does not listen.
     const std::string& peerAddress() const { return m_peerAddress; }
     void setPeerAddress(std::string address) { m_peerAddress = std::move(address); }
 
 private:
-    void begin();
-    void applyOptions();
+    void startTransfer();
+    void setSocketOptions();
     void readMore();
-    bool takeFrames();
+    bool parseFrames();
     void writeQueued();
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_connectTimer;
     const clock_source& m_clock;
-    events m_events;
+    callbacks m_callbacks;
     std::string m_peerAddress;
-    std::string m_queued;
-    std::string m_writing;
-    std::vector<char> m_read;
-    std::size_t m_readEnd = 0;
+    std::string m_sendQueue;
+    std::string m_writeBuffer;
+    std::vector<char> m_readBuffer;
+    std::size_t m_readBufferEnd = 0;
     bool m_connected = false;
     bool m_closed = false;
-    /// Since when something was sent without anything heard after it; zero when nothing is awaited.
-    time_point m_awaitingSince {};
-    bool m_pinged = false;
+    /// When the first message was sent after the last receive; zero if no response is expected.
+    time_point m_responseExpectedSince {};
+    bool m_pingSent = false;
 };
 
 } // namespace pistachiolatch
--- a/Source/peering/peer_network.cpp
+++ b/Source/peering/peer_network.cpp
@@ -8,13 +8,13 @@
 namespace asio = boost::asio;
 
 namespace {
-    /// Pause before the next attempt to reach a peer that could not be reached. Heartbeats of a leader come every
-    /// 60 ms; without the pause each would open a connection to a VM that is down.
-    constexpr milliseconds reconnectPause { 150 };
-    constexpr milliseconds silenceCheckInterval { 250 };
-    /// A gap between two checks that shows that this process stood still, and not its peers.
-    constexpr milliseconds stoodStill { 750 };
-    constexpr milliseconds acceptPause { 20 };
+    /// Delay before reconnecting to a lost or unreachable peer. A leader sends heartbeats every 60 ms; without the delay,
+    /// each would open a connection to a VM that is down.
+    constexpr milliseconds reconnectDelay { 150 };
+    constexpr milliseconds timeoutCheckInterval { 250 };
+    /// A longer gap between two checks means that this process was suspended, not its peers.
+    constexpr milliseconds maxCheckGap { 750 };
+    constexpr milliseconds acceptRetryDelay { 20 };
 }
 
 peer_network::peer_network(asio::io_context& context, const clock_source& clock, metrics& counters)
@@ -22,7 +22,7 @@
     , m_clock(clock)
     , m_metrics(counters)
     , m_acceptor(context)
-    , m_silenceTimer(context)
+    , m_timeoutCheckTimer(context)
 {
 }
 
@@ -39,18 +39,18 @@
 
 void peer_network::start()
 {
-    m_lastSilenceCheck = m_clock.now();
-    watchSilence();
+    m_lastTimeoutCheck = m_clock.now();
+    scheduleTimeoutCheck();
 }
 
 void peer_network::stop()
 {
     m_stopped = true;
-    m_silenceTimer.cancel();
+    m_timeoutCheckTimer.cancel();
     boost::system::error_code ignored;
     m_acceptor.close(ignored);
-    for (const auto& one : std::set<peer>(m_all))
-        one->close("this process stops");
+    for (const auto& connection : std::set<peer>(m_connections))
+        connection->close("process is stopping");
 }
 
 void peer_network::accept()
@@ -59,47 +59,47 @@
         if (!m_acceptor.is_open())
             return;
         if (error) {
-            // Out of file descriptors, most likely: a pause lets connections end.
-            auto pause = std::make_shared<asio::steady_timer>(m_context, acceptPause);
-            pause->async_wait([this, pause](boost::system::error_code) { accept(); });
+            // Most likely out of file descriptors: retries after some connections may have closed.
+            auto timer = std::make_shared<asio::steady_timer>(m_context, acceptRetryDelay);
+            timer->async_wait([this, timer](boost::system::error_code) { accept(); });
             return;
         }
-        makeConnection()->adopt(std::move(socket));
+        createConnection()->attach(std::move(socket));
         accept();
     });
 }
 
-peer_network::peer peer_network::makeConnection()
+peer_network::peer peer_network::createConnection()
 {
-    auto one = std::make_shared<peer_connection>(m_context, m_clock,
-        peer_connection::events {
-            [this](const peer& from, const wire::envelope& message) { received(from, message); },
-            [this](const peer& from, const std::string& why) { closed(from, why); },
+    auto connection = std::make_shared<peer_connection>(m_context, m_clock,
+        peer_connection::callbacks {
+            [this](const peer& from, const wire::envelope& message) { handleMessage(from, message); },
+            [this](const peer& from, const std::string& reason) { handleClosed(from, reason); },
         });
-    m_all.insert(one);
-    return one;
+    m_connections.insert(connection);
+    return connection;
 }
 
-peer_network::peer peer_network::connectionTo(const std::string& address)
+peer_network::peer peer_network::findOrConnect(const std::string& address)
 {
-    auto found = m_byAddress.find(address);
-    if (found != m_byAddress.end() && found->second->isOpen())
+    auto found = m_connectionsByAddress.find(address);
+    if (found != m_connectionsByAddress.end() && found->second->isOpen())
         return found->second;
-    auto retry = m_retryAt.find(address);
-    if (m_stopped || (retry != m_retryAt.end() && m_clock.now() < retry->second))
+    auto retry = m_reconnectAt.find(address);
+    if (m_stopped || (retry != m_reconnectAt.end() && m_clock.now() < retry->second))
         return nullptr;
-    auto one = makeConnection();
-    m_byAddress[address] = one;
-    one->connect(address);
+    auto connection = createConnection();
+    m_connectionsByAddress[address] = connection;
+    connection->connect(address);
     wire::envelope hello;
     hello.set_sender_address(m_ownAddress);
-    one->send(hello);
-    return one;
+    connection->send(hello);
+    return connection;
 }
 
 void peer_network::send(const std::string& address, wire::envelope message)
 {
-    if (auto to = connectionTo(address))
+    if (auto to = findOrConnect(address))
         to->send(message);
     else
         m_metrics.count("peer_message_dropped");
@@ -107,14 +107,14 @@
 
 void peer_network::call(const std::string& address, wire::envelope message, milliseconds timeout, reply_handler handler)
 {
-    auto id = ++m_lastCall;
+    auto id = ++m_lastCallId;
     message.set_call(id);
-    auto to = connectionTo(address);
+    auto to = findOrConnect(address);
     auto timer = std::make_shared<asio::steady_timer>(m_context, to ? timeout : milliseconds(0));
     m_calls[id] = { std::move(handler), timer, to };
     timer->async_wait([this, id](boost::system::error_code error) {
         if (!error)
-            finishCall(id, nullptr);
+            completeCall(id, nullptr);
     });
     if (to)
         to->send(message);
@@ -126,7 +126,7 @@
     to->send(message);
 }
 
-void peer_network::finishCall(std::uint64_t id, const wire::envelope* reply)
+void peer_network::completeCall(std::uint64_t id, const wire::envelope* reply)
 {
     auto found = m_calls.find(id);
     if (found == m_calls.end())
@@ -137,73 +137,73 @@
     call.handler(reply);
 }
 
-void peer_network::received(const peer& from, const wire::envelope& message)
+void peer_network::handleMessage(const peer& from, const wire::envelope& message)
 {
-    if (m_toldLost.erase(from->peerAddress()) > 0)
+    if (m_reportedLost.erase(from->peerAddress()) > 0)
         logEvent("peer_regained", { { "peer", from->peerAddress() } });
     if (!message.sender_address().empty()) {
         from->setPeerAddress(message.sender_address());
-        auto& known = m_byAddress[message.sender_address()];
+        auto& known = m_connectionsByAddress[message.sender_address()];
         if (!known || !known->isOpen())
             known = from;
-        m_retryAt.erase(message.sender_address());
+        m_reconnectAt.erase(message.sender_address());
     }
     if (message.reply_to() != 0) {
-        finishCall(message.reply_to(), &message);
+        completeCall(message.reply_to(), &message);
         return;
     }
     switch (message.body_case()) {
     case wire::envelope::kPing: {
-        wire::envelope answer;
-        answer.mutable_pong();
-        from->send(answer);
+        wire::envelope reply;
+        reply.mutable_pong();
+        from->send(reply);
         return;
     }
     case wire::envelope::kPong:
     case wire::envelope::BODY_NOT_SET:
         return;
     default:
-        m_receive(message, from);
+        m_onMessage(message, from);
     }
 }
 
-void peer_network::closed(const peer& from, const std::string& why)
+void peer_network::handleClosed(const peer& from, const std::string& reason)
 {
-    m_all.erase(from);
-    auto found = m_byAddress.find(from->peerAddress());
-    if (found != m_byAddress.end() && found->second == from) {
-        m_byAddress.erase(found);
-        m_retryAt[from->peerAddress()] = m_clock.now() + reconnectPause;
-        if (m_toldLost.insert(from->peerAddress()).second)
-            logEvent("peer_lost", { { "peer", from->peerAddress() }, { "why", why } });
+    m_connections.erase(from);
+    auto found = m_connectionsByAddress.find(from->peerAddress());
+    if (found != m_connectionsByAddress.end() && found->second == from) {
+        m_connectionsByAddress.erase(found);
+        m_reconnectAt[from->peerAddress()] = m_clock.now() + reconnectDelay;
+        if (m_reportedLost.insert(from->peerAddress()).second)
+            logEvent("peer_lost", { { "peer", from->peerAddress() }, { "why", reason } });
     }
-    std::vector<std::uint64_t> broken;
+    std::vector<std::uint64_t> interrupted;
     for (const auto& [id, call] : m_calls) {
-        if (call.over == from)
-            broken.push_back(id);
+        if (call.connection == from)
+            interrupted.push_back(id);
     }
-    for (auto id : broken)
-        finishCall(id, nullptr);
-    if (m_lost)
-        m_lost(from);
+    for (auto id : interrupted)
+        completeCall(id, nullptr);
+    if (m_onLost)
+        m_onLost(from);
 }
 
-void peer_network::watchSilence()
+void peer_network::scheduleTimeoutCheck()
 {
-    m_silenceTimer.expires_after(silenceCheckInterval);
-    m_silenceTimer.async_wait([this](boost::system::error_code error) {
+    m_timeoutCheckTimer.expires_after(timeoutCheckInterval);
+    m_timeoutCheckTimer.async_wait([this](boost::system::error_code error) {
         if (error || m_stopped)
             return;
         auto now = m_clock.now();
-        // After a freeze the peers' messages lie unread in the sockets: judging them silent now would break every
-        // connection at the moment when it is needed most.
-        bool judge = now - m_lastSilenceCheck < stoodStill;
-        m_lastSilenceCheck = now;
-        if (judge) {
-            for (const auto& one : std::set<peer>(m_all))
-                one->checkSilence(now);
+        // After this process was suspended, messages from peers are still unread in the sockets: checking for timeouts
+        // now would close every connection when the connections are needed most.
+        bool shouldCheck = now - m_lastTimeoutCheck < maxCheckGap;
+        m_lastTimeoutCheck = now;
+        if (shouldCheck) {
+            for (const auto& connection : std::set<peer>(m_connections))
+                connection->checkTimeout(now);
         }
-        watchSilence();
+        scheduleTimeoutCheck();
     });
 }
 
--- a/Source/peering/peering.h
+++ b/Source/peering/peering.h
@@ -1,4 +1,4 @@
 #pragma once
-/// Messages between the system's own processes over TCP, for fleets whose members find each other at run time.
-/// This is the library's one public header.
+/// Messaging over TCP between the system's processes, for fleets whose members discover each other at run time.
+/// This is the library's only public header.
 #include "peering/peer_network.h"
