--- a/Source/session/control_session.cpp
+++ b/Source/session/control_session.cpp
@@ -3,10 +3,10 @@
 namespace pistachiolatch {
 
 namespace {
-    /// Without a grant for this long another control VM is asked.
-    constexpr milliseconds leaderSilence { 600 };
-    constexpr std::size_t mostEventsWaiting = 200;
-    constexpr std::size_t eventsPerHeartbeat = 20;
+    /// After this time without a grant, the session tries another control VM.
+    constexpr milliseconds leaderTimeout { 600 };
+    constexpr std::size_t maxQueuedEvents = 200;
+    constexpr std::size_t maxEventsPerHeartbeat = 20;
 }
 
 control_session::control_session(control_loop& loop, const wire_settings& settings, wire::process_kind kind, const clock_source& clock, session_hooks hooks)
@@ -25,32 +25,32 @@
     if (now < m_nextHeartbeat)
         return;
     m_nextHeartbeat = now + sessionHeartbeat;
-    if (now - m_lastGrant > leaderSilence)
-        tryNextControl();
+    if (now - m_lastGrant > leaderTimeout)
+        selectNextControl();
     sendHeartbeat(now);
 }
 
-void control_session::tryNextControl()
+void control_session::selectNextControl()
 {
-    m_leader = m_controls[m_turn++ % m_controls.size()];
+    m_leader = m_controls[m_nextControlIndex++ % m_controls.size()];
 }
 
 void control_session::sendHeartbeat(time_point now)
 {
     wire::envelope message;
-    auto* beat = message.mutable_heartbeat();
-    beat->set_kind(m_kind);
-    beat->set_data_centre(m_self.dataCentre);
-    beat->set_applied_revision(m_config->revision());
-    beat->set_shard_version(m_shardVersion);
-    beat->set_poison_version(m_poisonVersion);
-    beat->set_live_version(m_liveVersion);
-    beat->set_max_schema_version(newestSchemaVersion);
-    beat->set_leaving(m_leaving);
-    beat->set_sent_ns(now.time_since_epoch().count());
-    for (std::size_t i = 0; i < eventsPerHeartbeat && !m_events.empty(); ++i) {
-        *beat->add_events() = m_events.front();
-        m_events.pop_front();
+    auto* heartbeat = message.mutable_heartbeat();
+    heartbeat->set_kind(m_kind);
+    heartbeat->set_data_centre(m_self.dataCentre);
+    heartbeat->set_applied_revision(m_config->revision());
+    heartbeat->set_shard_version(m_shardVersion);
+    heartbeat->set_poison_version(m_poisonVersion);
+    heartbeat->set_live_version(m_liveVersion);
+    heartbeat->set_max_schema_version(newestSchemaVersion);
+    heartbeat->set_leaving(m_leaving);
+    heartbeat->set_sent_ns(now.time_since_epoch().count());
+    for (std::size_t i = 0; i < maxEventsPerHeartbeat && !m_queuedEvents.empty(); ++i) {
+        *heartbeat->add_events() = m_queuedEvents.front();
+        m_queuedEvents.pop_front();
     }
     m_loop.wire().send(m_leader, message);
 }
@@ -65,28 +65,28 @@
 void control_session::onGrant(const wire::session_grant& grant)
 {
     if (grant.refused()) {
-        // A replica that knows the leader names it; one that doesn't leaves the choice to the next try.
+        // Follows the redirect of a replica that knows the leader; otherwise a later heartbeat tries the next control VM.
         if (!grant.leader_address().empty() && grant.leader_address() != m_leader) {
             m_leader = grant.leader_address();
             sendHeartbeat(m_clock.now());
         }
         return;
     }
-    // A late grant of an earlier leader must not undo a newer leader's word.
+    // A late grant from a former leader must not overwrite a newer leader's grant.
     if (grant.leader_term() < m_leaderTerm)
         return;
     if (grant.leader_term() > m_leaderTerm) {
         m_leaderTerm = grant.leader_term();
         m_liveVersion = 0;
     }
-    // Changes to a revision that this process does not have would leave out what lies between; the next heartbeat
-    // tells control what is missing.
+    // Changes based on a revision that this process has not reached would leave a gap. The next heartbeat, sent at once,
+    // tells control the revision to start from.
     if (grant.base_revision() > m_config->revision()) {
         m_nextHeartbeat = {};
         return;
     }
     m_lastGrant = m_clock.now();
-    takeRecords(grant);
+    applyRecords(grant);
     bool newShards = grant.shard_version() > m_shardVersion;
     if (newShards) {
         m_shardVersion = grant.shard_version();
@@ -94,31 +94,31 @@
         for (const auto& owner : grant.shards())
             m_shards[owner.shard()] = owner;
     }
-    bool newPoison = grant.poison_version() > m_poisonVersion;
-    if (newPoison) {
+    bool newPoisonMarks = grant.poison_version() > m_poisonVersion;
+    if (newPoisonMarks) {
         m_poisonVersion = grant.poison_version();
-        m_poison.assign(grant.poison().begin(), grant.poison().end());
+        m_poisonMarks.assign(grant.poison().begin(), grant.poison().end());
     }
     bool newLive = grant.live_version() != m_liveVersion && grant.live_size() > 0;
     if (newLive) {
         m_liveVersion = grant.live_version();
         m_live.assign(grant.live().begin(), grant.live().end());
     }
-    m_heard = true;
-    // The lease is renewed only after what came with it is applied: a lease never covers an older configuration.
+    m_hasReceivedGrant = true;
+    // Renewed only after the rest of the grant is applied, so that a lease never covers an older configuration.
     if (grant.echo_ns() != 0 && !m_leaving)
         m_lease.renew(time_point(duration(grant.echo_ns())), milliseconds(grant.lease_ms()));
-    if (newLive && m_hooks.onLive)
-        m_hooks.onLive();
+    if (newLive && m_hooks.onLiveProcesses)
+        m_hooks.onLiveProcesses();
     if (newShards && m_hooks.onShards)
         m_hooks.onShards();
-    if (newPoison && m_hooks.onPoison)
-        m_hooks.onPoison();
+    if (newPoisonMarks && m_hooks.onPoisonMarks)
+        m_hooks.onPoisonMarks();
 }
 
-void control_session::takeRecords(const wire::session_grant& grant)
+void control_session::applyRecords(const wire::session_grant& grant)
 {
-    // Never back to an older revision, whatever arrives late.
+    // A late grant must not restore an older revision.
     if (grant.revision() <= m_config->revision())
         return;
     std::vector<std::string> problems;
@@ -128,7 +128,7 @@
     std::atomic_store(&m_config, next);
     if (m_hooks.onConfig)
         m_hooks.onConfig(next);
-    // Control waits for this to call the revision in force, so it is told at once and not at the next heartbeat.
+    // Control waits for this report before it declares the revision in force, so the next heartbeat is sent at once.
     m_nextHeartbeat = {};
 }
 
@@ -143,9 +143,9 @@
     event.set_at_ms(wallClock().count());
     event.set_process(m_self.name);
     event.set_text(std::move(text));
-    m_events.push_back(std::move(event));
-    if (m_events.size() > mostEventsWaiting)
-        m_events.pop_front();
+    m_queuedEvents.push_back(std::move(event));
+    if (m_queuedEvents.size() > maxQueuedEvents)
+        m_queuedEvents.pop_front();
 }
 
 const wire::shard_owner* control_session::findOwner(const std::string& shard) const
--- a/Source/session/session.h
+++ b/Source/session/session.h
@@ -1,4 +1,4 @@
 #pragma once
 /// The session of an entry or a scheduler with the control leader.
-/// This is the library's one public header.
+/// This is the library's only public header.
 #include "session/control_session.h"
