--- a/Tests/Promises/AtMostOnceTest.cpp
+++ b/Tests/Promises/AtMostOnceTest.cpp
@@ -8,118 +8,119 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape slowServices()
+fleet_shape slowServiceOptions()
 {
-    fleet_shape shape;
-    shape.endpointLines = "service_ms = 400\n";
-    return shape;
+    fleet_shape options;
+    options.endpointLines = "service_ms = 400\n";
+    return options;
 }
 }
 
-// A booking's answer is slow, and the impatient caller sends it again through every entry at once. The service must
-// run it once, and each copy gets the same answer.
-TEST_CASE("Copies of a booking at all entries at once run once", "[promise]")
+// Guards against running a slow booking more than once when its caller sends it to all entries concurrently. Each
+// duplicate gets the same response.
+TEST_CASE("Concurrent duplicates of a booking at all entries run once", "[promise]")
 {
-    fleet where(slowServices());
-    where.start();
-    std::vector<std::future<simple_answer>> copies;
+    fleet testFleet(slowServiceOptions());
+    testFleet.start();
+    std::vector<std::future<simple_answer>> duplicates;
     for (int i = 0; i < 9; ++i)
-        copies.push_back(std::async(std::launch::async, [&where, i] { return where.book(i % 3 + 1, "hire-7", R"({"kit":7})"); }));
-    for (auto& copy : copies) {
-        auto answer = copy.get();
-        CHECK(answer.status == 200);
-        CHECK(answer.body.find("\"executions\":1") != std::string::npos);
+        duplicates.push_back(std::async(std::launch::async, [&testFleet, i] { return testFleet.book(i % 3 + 1, "hire-7", R"({"kit":7})"); }));
+    for (auto& duplicate : duplicates) {
+        auto response = duplicate.get();
+        CHECK(response.status == 200);
+        CHECK(response.body.find("\"executions\":1") != std::string::npos);
     }
-    CHECK(where.stat("orderdesk-1", "service_runs") == 1);
-    auto other = where.book(1, "hire-7", R"({"kit":8})");
-    CHECK(other.status == 422);
-    CHECK(other.body.find("\"run\":\"not_run\"") != std::string::npos);
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
+    auto conflicting = testFleet.book(1, "hire-7", R"({"kit":8})");
+    CHECK(conflicting.status == 422);
+    CHECK(conflicting.body.find("\"run\":\"not_run\"") != std::string::npos);
 }
 
-// The entry is killed after it sent the booking and before the answer came. Nobody knows whether it ran. The resend
-// at another entry must not send it a second time; it hears that the call may have run.
+// Guards against a second execution of a booking whose entry was killed after sending it and before the response
+// arrived. Whether it ran is unknown, so a resend at another entry is answered with may_have_run.
 TEST_CASE("A booking whose entry was killed is not sent again", "[promise]")
 {
-    fleet where(slowServices());
-    where.start();
-    auto first = std::async(std::launch::async, [&where] { return where.book(2, "hire-8", "{}"); });
-    REQUIRE(eventually([&] { return where.stat("orderdesk-1", "service_runs") == 1; }));
-    where.entry(2).kill();
+    fleet testFleet(slowServiceOptions());
+    testFleet.start();
+    auto first = std::async(std::launch::async, [&testFleet] { return testFleet.book(2, "hire-8", "{}"); });
+    REQUIRE(eventually([&] { return testFleet.stat("orderdesk-1", "service_runs") == 1; }));
+    testFleet.entry(2).kill();
     CHECK(first.get().broken);
-    auto resent = where.book(3, "hire-8", "{}");
+    auto resent = testFleet.book(3, "hire-8", "{}");
     CHECK(resent.status == 409);
     CHECK(resent.body.find("\"run\":\"may_have_run\"") != std::string::npos);
-    CHECK(where.stat("orderdesk-1", "service_runs") == 1);
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
 }
 
-// The leader of control is killed while bookings run. Intents acknowledged before survive it; the answer is stored by
-// the next leader, and resends find it.
-TEST_CASE("Bookings run once through a change of leader", "[promise]")
+// Guards against losing acknowledged ledger entries when the control leader is killed while bookings run. The next
+// leader stores the response, and resends replay it.
+TEST_CASE("Bookings run once across a leader change", "[promise]")
 {
-    fleet where(slowServices());
-    where.start();
-    auto running = std::async(std::launch::async, [&where] { return where.book(1, "hire-9", "{}"); });
-    REQUIRE(eventually([&] { return where.stat("orderdesk-1", "service_runs") == 1; }));
-    auto leader = where.leader();
+    fleet testFleet(slowServiceOptions());
+    testFleet.start();
+    auto booking = std::async(std::launch::async, [&testFleet] { return testFleet.book(1, "hire-9", "{}"); });
+    REQUIRE(eventually([&] { return testFleet.stat("orderdesk-1", "service_runs") == 1; }));
+    auto leader = testFleet.leader();
     REQUIRE(leader > 0);
-    where.control(leader).kill();
-    CHECK(running.get().status == 200);
-    auto resent = where.book(2, "hire-9", "{}");
+    testFleet.control(leader).kill();
+    CHECK(booking.get().status == 200);
+    auto resent = testFleet.book(2, "hire-9", "{}");
     CHECK(resent.status == 200);
     CHECK(resent.header("Idempotent-Replay") == "true");
-    auto fresh = where.book(3, "hire-10", "{}");
-    CHECK(fresh.status == 200);
-    CHECK(where.stat("orderdesk-1", "service_runs") == 2);
-    CHECK(where.stat("orderdesk-1", "most_executions") == 1);
+    auto newBooking = testFleet.book(3, "hire-10", "{}");
+    CHECK(newBooking.status == 200);
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 2);
+    CHECK(testFleet.stat("orderdesk-1", "most_executions") == 1);
 }
 
-// The service dies after it ran the booking and before it answered. A router that retries books twice.
-TEST_CASE("A booking whose service crashed is not repeated, a read is", "[promise]")
+// Guards against retrying a booking whose service crashed after running it and before responding.
+TEST_CASE("A booking whose service crashed is not retried, a read is", "[promise]")
 {
-    fleet where({});
-    where.start();
-    auto answer = where.book(1, "hire-11", "CRASH-ENDPOINT");
-    CHECK(answer.status == 409);
-    CHECK(answer.body.find("\"run\":\"may_have_run\"") != std::string::npos);
-    auto resent = where.book(2, "hire-11", "CRASH-ENDPOINT");
+    fleet testFleet({});
+    testFleet.start();
+    auto response = testFleet.book(1, "hire-11", "CRASH-ENDPOINT");
+    CHECK(response.status == 409);
+    CHECK(response.body.find("\"run\":\"may_have_run\"") != std::string::npos);
+    auto resent = testFleet.book(2, "hire-11", "CRASH-ENDPOINT");
     CHECK(resent.status == 409);
-    CHECK(where.stat("orderdesk-1", "service_runs") == 1);
-    // A read may be repeated: while one endpoint restarts, another answers.
-    auto read = where.call(where.callers(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
+    // Reads are idempotent: while one endpoint restarts, another responds.
+    auto read = testFleet.call(testFleet.callers(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
     CHECK(read.status == 200);
 }
 
-// No endpoint of the service is there. "Not run" must be true, and the same key must work once one is back.
+// Guards against reporting not_run for a booking that ran, and against an idempotency key that stays unusable after
+// such a refusal. All endpoints of the service are leaving at first.
 TEST_CASE("A booking refused as not run can be sent again", "[promise]")
 {
-    fleet where({});
-    where.start();
+    fleet testFleet({});
+    testFleet.start();
     for (const char* endpoint : { "orderdesk-1", "orderdesk-2" })
-        where.fault(endpoint, R"({"leaving":true})");
-    REQUIRE(eventually([&] { return where.command({ "status" }).out.find("shard=service:orderdesk policy=reserve endpoints=0 ") != std::string::npos; }));
-    auto refused = where.book(1, "hire-12", "{}");
+        testFleet.fault(endpoint, R"({"leaving":true})");
+    REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find("shard=service:orderdesk policy=reserve endpoints=0 ") != std::string::npos; }));
+    auto refused = testFleet.book(1, "hire-12", "{}");
     CHECK(refused.status == 503);
     CHECK(refused.body.find("\"run\":\"not_run\"") != std::string::npos);
     CHECK(refused.header("Retry-After") != "");
-    CHECK(where.stat("orderdesk-1", "service_runs") == 0);
-    where.fault("orderdesk-1", "{}");
-    CHECK(eventually([&] { return where.book(2, "hire-12", "{}").status == 200; }));
-    CHECK(where.stat("orderdesk-1", "service_runs") == 1);
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 0);
+    testFleet.fault("orderdesk-1", "{}");
+    CHECK(eventually([&] { return testFleet.book(2, "hire-12", "{}").status == 200; }));
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
 }
 
-// A majority of control is gone: intents can't be written. Bookings are refused as not run instead of being sent
-// on trust, while reads go on for as long as the entry's lease lasts.
+// Guards against sending bookings while the ledger can't be written for lack of a control majority. They are refused
+// as not_run; reads continue while the entry's lease is valid.
 TEST_CASE("Without a quorum no booking is sent", "[promise]")
 {
-    fleet where({});
-    where.start();
-    auto leader = where.leader();
+    fleet testFleet({});
+    testFleet.start();
+    auto leader = testFleet.leader();
     for (int n = 1; n <= 3; ++n) {
         if (n != leader)
-            where.control(n).kill();
+            testFleet.control(n).kill();
     }
-    auto refused = where.book(1, "hire-13", "{}");
+    auto refused = testFleet.book(1, "hire-13", "{}");
     CHECK(refused.status == 503);
     CHECK(refused.body.find("\"run\":\"not_run\"") != std::string::npos);
-    CHECK(where.stat("orderdesk-1", "service_runs") == 0);
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 0);
 }
--- a/Tests/Promises/ConfigTest.cpp
+++ b/Tests/Promises/ConfigTest.cpp
@@ -9,140 +9,140 @@
 using namespace pistachiolatch::test;
 
 namespace {
-std::string limitFile(const fleet& where, int version, int rate)
+std::string writeLimitFile(const fleet& testFleet, int version, int rate)
 {
-    return where.file("limit.toml", fmt::format("[[limit]]\nname = \"alpha\"\nversion = {}\nrate = {}\nburst = 1000000\n", version, rate));
+    return testFleet.file("limit.toml", fmt::format("[[limit]]\nname = \"alpha\"\nversion = {}\nrate = {}\nburst = 1000000\n", version, rate));
 }
 
-/// Submits as another operator, straight to a control VM.
-simple_answer submitAs(const fleet& where, int control, const std::string& token, int version, int rate)
+/// Submits a limit record directly to a control VM with an operator's token.
+simple_answer submitLimit(const fleet& testFleet, int control, const std::string& token, int version, int rate)
 {
     auto body = fmt::format(R"({{"records":[{{"kind":"limit","name":"alpha","version":{},"schema_version":1,"body":{{"rate":{},"burst":1000000}}}}]}})", version, rate);
-    return where.call(where.operators(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
+    return testFleet.call(testFleet.operators(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
 }
 }
 
-// Two operators edit the same version. The second is told who won; nothing is overwritten, and a resend of the
-// winner's submission, as after a lost answer, is accepted once.
-TEST_CASE("Racing operators get one winner and resends are accepted once", "[promise]")
+// Guards against lost updates when two operators submit the same version: the second is told who submitted it. A
+// resend of the accepted submission, as after a lost response, is not applied again.
+TEST_CASE("Of two submissions of a version one is accepted, and its resend is applied once", "[promise]")
 {
-    fleet where({});
-    where.start();
-    int leader = where.leader();
-    CHECK(submitAs(where, leader, "test-token", 2, 500000).status == 200);
-    auto lost = submitAs(where, leader, "other-token", 2, 600000);
-    CHECK(lost.status == 409);
-    CHECK(lost.body.find("submitted by anna") != std::string::npos);
-    auto resent = submitAs(where, leader, "test-token", 2, 500000);
+    fleet testFleet({});
+    testFleet.start();
+    int leader = testFleet.leader();
+    CHECK(submitLimit(testFleet, leader, "test-token", 2, 500000).status == 200);
+    auto rejected = submitLimit(testFleet, leader, "other-token", 2, 600000);
+    CHECK(rejected.status == 409);
+    CHECK(rejected.body.find("submitted by anna") != std::string::npos);
+    auto resent = submitLimit(testFleet, leader, "test-token", 2, 500000);
     CHECK(resent.status == 200);
     CHECK(resent.body.find("already_accepted") != std::string::npos);
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 500000") != std::string::npos);
-    CHECK(submitAs(where, leader, "wrong", 3, 1).status == 401);
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 500000") != std::string::npos);
+    CHECK(submitLimit(testFleet, leader, "wrong", 3, 1).status == 401);
 }
 
-// A control VM is cut off for long and believes nothing of it. It must neither accept a change nor show an old state
-// as the one in force; the others go on, and it catches up when it is back.
-TEST_CASE("An isolated control VM neither accepts nor shows old state", "[promise]")
+// Guards against an isolated leader that accepts changes or serves stale records. The other replicas continue, and it
+// catches up after the partition ends.
+TEST_CASE("An isolated control VM neither accepts changes nor serves stale state", "[promise]")
 {
-    fleet_shape shape;
-    shape.proxied = true;
-    fleet where(shape);
-    where.start();
-    int isolated = where.leader();
-    where.proxy().isolate(where.ip(isolated), true);
-    auto applied = where.command({ "apply", limitFile(where, 1, 700000) });
+    fleet_shape options;
+    options.proxied = true;
+    fleet testFleet(options);
+    testFleet.start();
+    int isolated = testFleet.leader();
+    testFleet.proxy().isolate(testFleet.ip(isolated), true);
+    auto applied = testFleet.command({ "apply", writeLimitFile(testFleet, 1, 700000) });
     INFO(applied.out << applied.err);
     CHECK(applied.code == 0);
-    CHECK(submitAs(where, isolated, "test-token", 2, 1).status == 503);
-    auto read = where.call(where.operators(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
+    CHECK(submitLimit(testFleet, isolated, "test-token", 2, 1).status == 503);
+    auto read = testFleet.call(testFleet.operators(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
     CHECK(read.status == 503);
-    auto term = where.status("term");
-    where.proxy().isolate(where.ip(isolated), false);
-    CHECK(eventually([&] { return where.call(where.operators(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && where.ready(where.entryAdmin(isolated)); }));
-    // Coming back it deposes nobody.
-    CHECK(where.status("term") == term);
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 700000") != std::string::npos);
+    auto term = testFleet.status("term");
+    testFleet.proxy().isolate(testFleet.ip(isolated), false);
+    CHECK(eventually([&] { return testFleet.call(testFleet.operators(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && testFleet.ready(testFleet.entryAdmin(isolated)); }));
+    // Its return must not trigger an election.
+    CHECK(testFleet.status("term") == term);
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 700000") != std::string::npos);
 }
 
-// A control process and an entry are down while hundreds of changes pass, more than the log keeps. They come back by
-// snapshot and serve only what is in force then.
-TEST_CASE("Processes that missed hundreds of changes come back up to date", "[promise]")
+// Guards against stale state in a control process and an entry that missed more changes than the log keeps. They
+// catch up from a snapshot.
+TEST_CASE("Processes that missed hundreds of changes catch up after a restart", "[promise]")
 {
-    fleet where({});
-    where.start();
-    int follower = where.leader() == 3 ? 2 : 3;
-    where.control(follower).kill();
-    where.entry(2).kill();
-    int leader = where.leader();
+    fleet testFleet({});
+    testFleet.start();
+    int follower = testFleet.leader() == 3 ? 2 : 3;
+    testFleet.control(follower).kill();
+    testFleet.entry(2).kill();
+    int leader = testFleet.leader();
     for (int version = 2; version <= 301; ++version)
-        REQUIRE(submitAs(where, leader, "test-token", version, 400000 + version).status == 200);
-    where.startControl(follower);
-    where.startEntry(2);
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(2)); }));
-    auto revision = where.status("revision");
-    CHECK(eventually([&] { return where.metric(where.entryAdmin(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
-    // The one that was away carries the state now: the leader goes, and the log needs its vote.
-    where.control(leader).kill();
-    auto got = where.command({ "get", "limit", "alpha" });
-    CHECK(got.out.find("rate = 400301") != std::string::npos);
-    CHECK(got.out.find("version = 301") != std::string::npos);
+        REQUIRE(submitLimit(testFleet, leader, "test-token", version, 400000 + version).status == 200);
+    testFleet.startControl(follower);
+    testFleet.startEntry(2);
+    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(2)); }));
+    auto revision = testFleet.status("revision");
+    CHECK(eventually([&] { return testFleet.metric(testFleet.entryAdmin(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
+    // With the leader killed, the quorum needs the restarted replica.
+    testFleet.control(leader).kill();
+    auto output = testFleet.command({ "get", "limit", "alpha" });
+    CHECK(output.out.find("rate = 400301") != std::string::npos);
+    CHECK(output.out.find("version = 301") != std::string::npos);
 }
 
-// Every control process dies at once, as in a power cut. What was accepted is on disks, and is in force again.
-TEST_CASE("Accepted records survive a power cut of all control VMs", "[promise]")
+// Guards against losing accepted records when all control processes are killed at once, as in a power failure.
+TEST_CASE("Accepted records survive a power failure of all control VMs", "[promise]")
 {
-    fleet where({});
-    where.start();
-    CHECK(where.command({ "apply", limitFile(where, 1, 800000) }).code == 0);
+    fleet testFleet({});
+    testFleet.start();
+    CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1, 800000) }).code == 0);
     for (int n = 1; n <= 3; ++n)
-        where.control(n).signal(SIGKILL);
+        testFleet.control(n).signal(SIGKILL);
     for (int n = 1; n <= 3; ++n)
-        where.control(n).kill();
+        testFleet.control(n).kill();
     for (int n = 1; n <= 3; ++n)
-        where.startControl(n);
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 800000") != std::string::npos);
-    CHECK(eventually([&] { return where.complete(1, "hello", 5).status == 200; }));
+        testFleet.startControl(n);
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 800000") != std::string::npos);
+    CHECK(eventually([&] { return testFleet.complete(1, "hello", 5).status == 200; }));
 }
 
-// A control process is frozen for longer than an election, then thaws and still thinks that it leads.
-TEST_CASE("A leader that was frozen past its lease gives up on thawing", "[promise]")
+// Guards against a leader that is suspended for longer than an election and accepts changes when it resumes.
+TEST_CASE("A leader suspended past its lease rejects changes after it resumes", "[promise]")
 {
-    fleet where({});
-    where.start();
-    int frozen = where.leader();
-    where.control(frozen).signal(SIGSTOP);
-    auto applied = where.command({ "apply", limitFile(where, 1, 900000) });
+    fleet testFleet({});
+    testFleet.start();
+    int suspended = testFleet.leader();
+    testFleet.control(suspended).signal(SIGSTOP);
+    auto applied = testFleet.command({ "apply", writeLimitFile(testFleet, 1, 900000) });
     INFO(applied.out << applied.err);
     CHECK(applied.code == 0);
-    where.control(frozen).signal(SIGCONT);
-    CHECK(submitAs(where, frozen, "test-token", 2, 1).status == 503);
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 900000") != std::string::npos);
+    testFleet.control(suspended).signal(SIGCONT);
+    CHECK(submitLimit(testFleet, suspended, "test-token", 2, 1).status == 503);
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 900000") != std::string::npos);
 }
 
 // Guards against an accepted change that is left unconfirmed without a log line that gives the reason.
 TEST_CASE("The log says why an accepted change was not confirmed to be in force", "[promise]")
 {
-    fleet where({});
-    where.start();
-    int leader = where.leader();
+    fleet testFleet({});
+    testFleet.start();
+    int leader = testFleet.leader();
     REQUIRE(leader > 0);
-    auto before = where.status("revision");
-    // The change is not in force until the lease of this frozen entry expires.
-    where.entry(1).signal(SIGSTOP);
+    auto before = testFleet.status("revision");
+    // The change is not in force until the lease of this suspended entry expires.
+    testFleet.entry(1).signal(SIGSTOP);
     command_output applied;
-    std::thread operatorCommand([&] { applied = where.command({ "apply", limitFile(where, 1, 700000) }); });
-    auto log = [&] { return readFile(fmt::format("{}/control{}.out", where.folder(), leader)); };
-    CHECK(eventually([&] { return where.status("revision") != before; }, std::chrono::seconds(2)));
+    std::thread commandThread([&] { applied = testFleet.command({ "apply", writeLimitFile(testFleet, 1, 700000) }); });
+    auto log = [&] { return readFile(fmt::format("{}/control{}.out", testFleet.folder(), leader)); };
+    CHECK(eventually([&] { return testFleet.status("revision") != before; }, std::chrono::seconds(2)));
     for (int n = 1; n <= 3; ++n) {
         if (n != leader)
-            where.control(n).signal(SIGSTOP);
+            testFleet.control(n).signal(SIGSTOP);
     }
-    operatorCommand.join();
+    commandThread.join();
     for (int n = 1; n <= 3; ++n) {
         if (n != leader)
-            where.control(n).signal(SIGCONT);
+            testFleet.control(n).signal(SIGCONT);
     }
-    where.entry(1).signal(SIGCONT);
+    testFleet.entry(1).signal(SIGCONT);
     INFO(applied.out << applied.err);
     CHECK(applied.out.find("not yet confirmed in force") != std::string::npos);
     CHECK(log().find("event=change_unconfirmed") != std::string::npos);
--- a/Tests/Promises/DoubleFaultsTest.cpp
+++ b/Tests/Promises/DoubleFaultsTest.cpp
@@ -10,84 +10,84 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape fiveControls()
+fleet_shape fiveControlOptions()
 {
-    fleet_shape shape;
-    shape.controls = 5;
-    shape.disks = 3;
-    return shape;
+    fleet_shape options;
+    options.controls = 5;
+    options.disks = 3;
+    return options;
 }
 
-std::string limitFile(const fleet& where, int version, int rate)
+std::string writeLimitFile(const fleet& testFleet, int version, int rate)
 {
-    return where.file("limit.toml", fmt::format("[[limit]]\nname = \"alpha\"\nversion = {}\nrate = {}\nburst = 1000000\n", version, rate));
+    return testFleet.file("limit.toml", fmt::format("[[limit]]\nname = \"alpha\"\nversion = {}\nrate = {}\nburst = 1000000\n", version, rate));
 }
 }
 
-// A VM with a disk is lost and replaced; its folder is empty. It comes back as a new replica and is repaired. Right
-// after that a second disk VM is lost. Every accepted record must still be there, and changes go on.
-TEST_CASE("A disk lost, then a second VM right after the repair", "[promise]")
+// Guards against losing accepted records when a second VM with a disk is lost right after the first was replaced with
+// an empty data folder and caught up as a new replica. Changes are still accepted.
+TEST_CASE("Records survive the loss of a second disk right after the first replica was replaced", "[promise]")
 {
-    fleet where(fiveControls());
-    where.start();
-    CHECK(where.command({ "apply", limitFile(where, 1, 510000) }).code == 0);
-    int leader = where.leader();
+    fleet testFleet(fiveControlOptions());
+    testFleet.start();
+    CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1, 510000) }).code == 0);
+    int leader = testFleet.leader();
     int wiped = leader == 2 ? 3 : 2;
-    where.control(wiped).kill();
-    std::filesystem::remove_all(where.dataFolder(wiped));
-    where.startControl(wiped);
+    testFleet.control(wiped).kill();
+    std::filesystem::remove_all(testFleet.dataFolder(wiped));
+    testFleet.startControl(wiped);
     REQUIRE(eventually([&] {
-        return readFile(where.folder() + "/control" + std::to_string(leader) + ".out").find("membership_committed") != std::string::npos
-            && where.command({ "status" }).out.find(fmt::format("replica vm=vm{} ", wiped)) != std::string::npos;
+        return readFile(testFleet.folder() + "/control" + std::to_string(leader) + ".out").find("membership_committed") != std::string::npos
+            && testFleet.command({ "status" }).out.find(fmt::format("replica vm=vm{} ", wiped)) != std::string::npos;
     }));
-    where.control(leader).kill();
-    std::filesystem::remove_all(where.dataFolder(leader));
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 510000") != std::string::npos);
-    CHECK(where.command({ "apply", limitFile(where, 2, 520000) }).code == 0);
-    where.startControl(leader);
-    CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 520000") != std::string::npos);
+    testFleet.control(leader).kill();
+    std::filesystem::remove_all(testFleet.dataFolder(leader));
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 510000") != std::string::npos);
+    CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 2, 520000) }).code == 0);
+    testFleet.startControl(leader);
+    CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 520000") != std::string::npos);
 }
 
-// The leader of control and an entry are killed together while bookings and streams run elsewhere.
-TEST_CASE("Leader and entry killed at once", "[promise]")
+// Guards against failing bookings and streams at other entries when the control leader and an entry are killed together.
+TEST_CASE("Bookings and streams survive killing the leader and another entry at once", "[promise]")
 {
-    fleet where(fiveControls());
-    where.start();
+    fleet testFleet(fiveControlOptions());
+    testFleet.start();
     std::string prompt = "stream beside a double fault";
-    streaming_caller caller(where, 2, prompt, 110);
+    streaming_caller caller(testFleet, 2, prompt, 110);
     REQUIRE(caller.readUntil(expectedToken(prompt, 1)));
-    auto booking = std::async(std::launch::async, [&where] { return where.book(3, "hire-1", "{}"); });
-    where.control(where.leader()).kill();
-    where.entry(1).kill();
+    auto booking = std::async(std::launch::async, [&testFleet] { return testFleet.book(3, "hire-1", "{}"); });
+    testFleet.control(testFleet.leader()).kill();
+    testFleet.entry(1).kill();
     CHECK(booking.get().status == 200);
     caller.readAll();
     CHECK(caller.whole());
     CHECK(caller.text() == expectedText(prompt, 110));
-    CHECK(where.book(2, "hire-1", "{}").header("Idempotent-Replay") == "true");
-    CHECK(where.stat("orderdesk-1", "service_runs") == 1);
-    CHECK(where.command({ "apply", limitFile(where, 1, 530000) }).code == 0);
+    CHECK(testFleet.book(2, "hire-1", "{}").header("Idempotent-Replay") == "true");
+    CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
+    CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1, 530000) }).code == 0);
 }
 
-// A VM is cut off, and while it is, another restarts. The cut ends; all are in step again.
-TEST_CASE("A partition and a restart at once", "[promise]")
+// Guards against replicas that don't catch up when one VM is isolated while another restarts.
+TEST_CASE("All replicas catch up after a partition with a concurrent restart", "[promise]")
 {
-    auto shape = fiveControls();
-    shape.proxied = true;
-    fleet where(shape);
-    where.start();
-    int leader = where.leader();
-    int cutOff = leader == 3 ? 2 : 3;
+    auto options = fiveControlOptions();
+    options.proxied = true;
+    fleet testFleet(options);
+    testFleet.start();
+    int leader = testFleet.leader();
+    int isolated = leader == 3 ? 2 : 3;
     int restarted = leader == 4 ? 5 : 4;
-    where.proxy().isolate(where.ip(cutOff), true);
-    where.control(restarted).kill();
-    where.entry(2).kill();
-    CHECK(where.command({ "apply", limitFile(where, 1, 540000) }).code == 0);
-    where.startControl(restarted);
-    where.startEntry(2);
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(2)); }));
-    where.proxy().isolate(where.ip(cutOff), false);
+    testFleet.proxy().isolate(testFleet.ip(isolated), true);
+    testFleet.control(restarted).kill();
+    testFleet.entry(2).kill();
+    CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1, 540000) }).code == 0);
+    testFleet.startControl(restarted);
+    testFleet.startEntry(2);
+    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(2)); }));
+    testFleet.proxy().isolate(testFleet.ip(isolated), false);
     CHECK(eventually([&] {
-        auto text = where.command({ "status" }).out;
+        auto text = testFleet.command({ "status" }).out;
         std::size_t voters = 0;
         for (auto at = text.find("replica vm="); at != std::string::npos; at = text.find("replica vm=", at + 1))
             ++voters;
@@ -95,30 +95,30 @@
     }));
     for (int n = 1; n <= 3; ++n)
         CHECK(eventually([&] {
-            auto answer = where.complete(n, "after both faults", 5);
-            UNSCOPED_INFO("vm" << n << " " << answer.status << " " << answer.body);
-            return answer.status == 200;
+            auto response = testFleet.complete(n, "after both faults", 5);
+            UNSCOPED_INFO("vm" << n << " " << response.status << " " << response.body);
+            return response.status == 200;
         }));
 }
 
-// One direction of the link between the leader and an entry is cut: the entry hears the leader, the leader does not
-// hear the entry. The entry must stop by itself when its lease ends, and come back with the link.
-TEST_CASE("A one-way cut ends a lease and its end restores it", "[promise]")
+// Guards against an entry that keeps serving without a lease when only its outgoing messages are lost. It must stop
+// when its lease expires, and resume when the link is restored.
+TEST_CASE("An entry loses its lease in a one-way partition and regains it afterwards", "[promise]")
 {
-    auto shape = fiveControls();
-    shape.proxied = true;
-    fleet where(shape);
-    where.start();
+    auto options = fiveControlOptions();
+    options.proxied = true;
+    fleet testFleet(options);
+    testFleet.start();
     for (int n = 1; n <= 5; ++n)
-        where.proxy().setRule(where.ip(1), where.ip(n), { .cut = n != 1 });
-    // Control on VM 1 is as mute as its entry; the rest elects a leader if it led.
-    CHECK(eventually([&] { return !where.ready(where.entryAdmin(1)); }));
-    auto refused = where.complete(1, "hello", 5);
+        testFleet.proxy().setRule(testFleet.ip(1), testFleet.ip(n), { .cut = n != 1 });
+    // The control replica on VM 1 is cut off as well; if it led, the others elect a new leader.
+    CHECK(eventually([&] { return !testFleet.ready(testFleet.entryAdmin(1)); }));
+    auto refused = testFleet.complete(1, "hello", 5);
     CHECK(refused.status == 503);
     CHECK(refused.body.find("no_config") != std::string::npos);
-    CHECK(where.complete(2, "hello", 5).status == 200);
+    CHECK(testFleet.complete(2, "hello", 5).status == 200);
     for (int n = 1; n <= 5; ++n)
-        where.proxy().setRule(where.ip(1), where.ip(n), {});
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(1)); }));
-    CHECK(eventually([&] { return where.complete(1, "hello", 5).status == 200; }));
+        testFleet.proxy().setRule(testFleet.ip(1), testFleet.ip(n), {});
+    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(1)); }));
+    CHECK(eventually([&] { return testFleet.complete(1, "hello", 5).status == 200; }));
 }
--- a/Tests/Promises/HeldMemoryTest.cpp
+++ b/Tests/Promises/HeldMemoryTest.cpp
@@ -12,56 +12,56 @@
 const std::string longPrompt(60000, 'x');
 }
 
-// The caller closes its connection in the middle of the stream. The engine would go on decoding for nobody; the
-// entry cancels at both endpoints until they confirm, also when the first cancels get lost.
-TEST_CASE("A caller that leaves mid-stream frees the engines", "[promise]")
+// Guards against engines that keep decoding after the caller closed its connection mid-stream. The entry sends
+// cancels to both endpoints until they confirm, also when the first cancels are lost.
+TEST_CASE("A caller that disconnects mid-stream frees the engines", "[promise]")
 {
-    fleet where({});
-    where.start();
-    bool cancelsGetLost = GENERATE(false, true);
+    fleet testFleet({});
+    testFleet.start();
+    bool loseCancels = GENERATE(false, true);
     for (const char* endpoint : { "decode-1", "decode-2" })
-        where.fault(endpoint, cancelsGetLost ? R"({"lose_cancels":3})" : "{}");
-    streaming_caller caller(where, 1, prompt, 100);
+        testFleet.fault(endpoint, loseCancels ? R"({"lose_cancels":3})" : "{}");
+    streaming_caller caller(testFleet, 1, prompt, 100);
     REQUIRE(caller.readUntil(expectedToken(prompt, 3)));
-    CHECK(where.statSum("held") > 0);
+    CHECK(testFleet.statSum("held") > 0);
     caller.leave();
-    CHECK(eventually([&] { return where.statSum("held") == 0; }));
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
-    // Leaving is no fault of the engine: it is neither retried nor taken for a crash that keeps work away from it.
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
-    CHECK(where.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos);
-    // And its place is free again: the pool's books are back to zero.
-    CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
+    CHECK(eventually([&] { return testFleet.statSum("held") == 0; }));
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
+    // A disconnect is no engine failure: the request is not retried, and no endpoint is removed from the pool as crashed.
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
+    CHECK(testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos);
+    // The pool's reservation is released as well.
+    CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
 }
 
-// The caller leaves while its long prompt is being computed: the connection is quiet, only its closing tells.
-TEST_CASE("A caller that leaves during the prefill frees the engine", "[promise]")
+// Guards against missing a disconnect during the prefill, when no data is sent and only the close signals it.
+TEST_CASE("A caller that disconnects during the prefill frees the engine", "[promise]")
 {
-    fleet_shape shape;
-    shape.endpointLines = "prefill_tokens_per_s = 10000\n";
-    fleet where(shape);
-    where.start();
-    streaming_caller caller(where, 1, longPrompt, 100);
-    REQUIRE(eventually([&] { return where.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
+    fleet_shape options;
+    options.endpointLines = "prefill_tokens_per_s = 10000\n";
+    fleet testFleet(options);
+    testFleet.start();
+    streaming_caller caller(testFleet, 1, longPrompt, 100);
+    REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
     caller.leave();
-    CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
-    CHECK(eventually([&] { return where.statSum("held") == 0 && where.statSum("prefills") >= 1; }));
-    CHECK(where.statSum("batch") == 0);
+    CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
+    CHECK(eventually([&] { return testFleet.statSum("held") == 0 && testFleet.statSum("prefills") >= 1; }));
+    CHECK(testFleet.statSum("batch") == 0);
 }
 
-// An entry is killed while its caller's answer streams: nobody is left to cancel. The pool's owner finds tags of an
-// entry that is gone and frees them, whether the VM stays down or comes back as a new incarnation.
-TEST_CASE("What a killed entry held is freed by the custodian", "[promise]")
+// Guards against leaking engine memory when an entry is killed mid-stream and can't cancel. The scheduler that owns
+// the pool cancels the requests of terminated entries, whether the entry stays down or restarts as a new incarnation.
+TEST_CASE("The orphan collector frees the engine memory of a killed entry", "[promise]")
 {
-    fleet where({});
-    where.start();
-    bool comesBack = GENERATE(true, false);
-    streaming_caller caller(where, 2, prompt, 127);
+    fleet testFleet({});
+    testFleet.start();
+    bool restartEntry = GENERATE(true, false);
+    streaming_caller caller(testFleet, 2, prompt, 127);
     REQUIRE(caller.readUntil(expectedToken(prompt, 2)));
-    REQUIRE(where.statSum("held") == 1);
-    where.entry(2).kill();
-    if (comesBack)
-        where.startEntry(2);
-    CHECK(eventually([&] { return where.statSum("held") == 0; }));
-    CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
+    REQUIRE(testFleet.statSum("held") == 1);
+    testFleet.entry(2).kill();
+    if (restartEntry)
+        testFleet.startEntry(2);
+    CHECK(eventually([&] { return testFleet.statSum("held") == 0; }));
+    CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
 }
--- a/Tests/Promises/LimitsUnderFaultTest.cpp
+++ b/Tests/Promises/LimitsUnderFaultTest.cpp
@@ -10,7 +10,7 @@
 using namespace pistachiolatch::test;
 
 namespace {
-// The burst is worth ten seconds of the rate: an owner that started with a full bucket would show at once.
+// The burst equals ten seconds of the rate, so that an owner that starts with a full bucket clearly exceeds the limit.
 constexpr int rate = 300;
 constexpr int burst = 3000;
 
@@ -40,14 +40,14 @@
 )",
     rate, burst);
 
-/// Floods the fleet as one organisation from several threads and notes when each call was admitted.
-class flood {
+/// Sends requests of one organisation from several threads and records when each admitted call was sent and answered.
+class load_generator {
 public:
-    explicit flood(const fleet& where)
+    explicit load_generator(const fleet& testFleet)
     {
         constexpr int senders = 6;
         for (int i = 0; i < senders; ++i)
-            m_threads.emplace_back([this, &where, i] { send(where, i % 3 + 1); });
+            m_threads.emplace_back([this, &testFleet, i] { sendRequests(testFleet, i % 3 + 1); });
     }
     void stop()
     {
@@ -55,25 +55,25 @@
         for (auto& thread : m_threads)
             thread.join();
     }
-    /// The most tokens above rate x length + burst that any window saw, counting each call from its earliest to
-    /// its latest possible moment in the caller's disfavour.
-    double worstExcess() const
+    /// The largest excess of admitted tokens over rate x duration + burst in any window. A window counts only calls that
+    /// were both sent and answered within it, because the time of admission lies between the two.
+    double maxExcess() const
     {
-        double worst = -1e18;
+        double maximum = -1e18;
         for (const auto& first : m_calls) {
             for (const auto& last : m_calls) {
-                if (last.answered < first.sent)
+                if (last.answeredAt < first.sentAt)
                     continue;
                 double total = 0;
                 for (const auto& call : m_calls)
-                    total += call.sent >= first.sent && call.answered <= last.answered ? 20 : 0;
-                auto seconds = std::chrono::duration<double>(last.answered - first.sent).count();
-                worst = std::max(worst, total - (seconds * rate + burst));
+                    total += call.sentAt >= first.sentAt && call.answeredAt <= last.answeredAt ? 20 : 0;
+                auto seconds = std::chrono::duration<double>(last.answeredAt - first.sentAt).count();
+                maximum = std::max(maximum, total - (seconds * rate + burst));
             }
         }
-        return worst;
+        return maximum;
     }
-    std::size_t admitted() const
+    std::size_t admittedCount() const
     {
         std::lock_guard lock(m_mutex);
         return m_calls.size();
@@ -81,17 +81,17 @@
 
 private:
     struct admitted_call {
-        time_point sent;
-        time_point answered;
+        time_point sentAt;
+        time_point answeredAt;
     };
-    void send(const fleet& where, int entry)
+    void sendRequests(const fleet& testFleet, int entry)
     {
         while (!m_stop) {
             admitted_call call;
-            call.sent = std::chrono::steady_clock::now();
-            auto answer = where.call(where.callers(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
-            call.answered = std::chrono::steady_clock::now();
-            if (answer.status != 200)
+            call.sentAt = std::chrono::steady_clock::now();
+            auto response = testFleet.call(testFleet.callers(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
+            call.answeredAt = std::chrono::steady_clock::now();
+            if (response.status != 200)
                 continue;
             std::lock_guard lock(m_mutex);
             m_calls.push_back(call);
@@ -104,41 +104,41 @@
 };
 }
 
-// One organisation sends many times its rate through every entry. The scheduler that owns its bucket is killed, or
-// frozen past its lease and thawed, or cut off; another takes over. If the old owner's grants and the new owner's
-// added up, some window would see more than rate and burst.
-TEST_CASE("Rate and burst hold over all VMs while the bucket changes owners", "[promise]")
+// Guards against grants of an old and a new bucket owner that together exceed rate and burst in some window. One
+// organisation sends many times its rate through all entries while the owner is killed, suspended past its lease and
+// resumed, or isolated.
+TEST_CASE("Rate and burst hold across all VMs while the bucket changes owners", "[promise]")
 {
     auto faultKind = GENERATE(std::string("kill"), std::string("freeze"), std::string("cut"));
-    fleet_shape shape;
-    shape.records = records;
-    shape.schedulers = 3;
-    shape.proxied = faultKind == "cut";
-    shape.endpointLines = "service_ms = 1\n";
-    fleet where(shape);
-    where.start();
-    flood traffic(where);
-    REQUIRE(eventually([&] { return traffic.admitted() > 160; }));
+    fleet_shape options;
+    options.records = records;
+    options.schedulers = 3;
+    options.proxied = faultKind == "cut";
+    options.endpointLines = "service_ms = 1\n";
+    fleet testFleet(options);
+    testFleet.start();
+    load_generator generator(testFleet);
+    REQUIRE(eventually([&] { return generator.admittedCount() > 160; }));
     for (int round = 0; round < 2; ++round) {
-        int victim = where.owner(limitShard("alpha"));
+        int victim = testFleet.owner(limitShard("alpha"));
         REQUIRE(victim > 0);
         INFO(faultKind << " scheduler of vm" << victim);
         if (faultKind == "kill")
-            where.scheduler(victim).kill();
+            testFleet.scheduler(victim).kill();
         else if (faultKind == "freeze")
-            where.scheduler(victim).signal(SIGSTOP);
+            testFleet.scheduler(victim).signal(SIGSTOP);
         else
-            where.proxy().isolate(where.ip(victim), true);
-        auto before = traffic.admitted();
-        REQUIRE(eventually([&] { return traffic.admitted() > before + 40; }));
+            testFleet.proxy().isolate(testFleet.ip(victim), true);
+        auto before = generator.admittedCount();
+        REQUIRE(eventually([&] { return generator.admittedCount() > before + 40; }));
         if (faultKind == "kill")
-            where.startScheduler(victim);
+            testFleet.startScheduler(victim);
         else if (faultKind == "freeze")
-            where.scheduler(victim).signal(SIGCONT);
+            testFleet.scheduler(victim).signal(SIGCONT);
         else
-            where.proxy().isolate(where.ip(victim), false);
-        REQUIRE(eventually([&] { return where.ready(where.schedulerAdmin(victim)); }));
+            testFleet.proxy().isolate(testFleet.ip(victim), false);
+        REQUIRE(eventually([&] { return testFleet.ready(testFleet.schedulerAdmin(victim)); }));
     }
-    traffic.stop();
-    CHECK(traffic.worstExcess() <= 0);
+    generator.stop();
+    CHECK(generator.maxExcess() <= 0);
 }
--- a/Tests/Promises/WholeAnswersTest.cpp
+++ b/Tests/Promises/WholeAnswersTest.cpp
@@ -9,96 +9,96 @@
 namespace {
 const std::string prompt = "Summarise the safety data sheet of degreaser K-7";
 
-std::string decodeOf(fleet& where)
+std::string findActiveDecodeEndpoint(fleet& testFleet)
 {
-    return where.stat("decode-1", "batch") > 0 ? "decode-1" : "decode-2";
+    return testFleet.stat("decode-1", "batch") > 0 ? "decode-1" : "decode-2";
 }
 
-/// Asks for several completions, each with a prompt of its own, and checks that each answer is whole and its prompt's.
-void checkWholeAnswers(fleet& where, const std::string& label, int count, std::uint32_t maxTokens)
+/// Requests several completions with distinct prompts and checks that each response is complete and matches its prompt.
+void checkCompleteResponses(fleet& testFleet, const std::string& label, int count, std::uint32_t maxTokens)
 {
     for (int i = 0; i < count; ++i) {
         auto unique = prompt + label + std::to_string(i);
-        auto answer = where.complete(1, unique, maxTokens);
-        CHECK(answer.status == 200);
-        CHECK(answer.body.find(expectedText(unique, maxTokens)) != std::string::npos);
+        auto response = testFleet.complete(1, unique, maxTokens);
+        CHECK(response.status == 200);
+        CHECK(response.body.find(expectedText(unique, maxTokens)) != std::string::npos);
     }
 }
 }
 
-// The caller sees one whole answer. Its decode endpoint dies in the middle of the stream; the entry has part of the
-// tokens. Another engine resumes behind the last index, so nothing is missing and nothing comes twice.
-TEST_CASE("A stream survives the death of its decode endpoint", "[promise]")
+// Guards against missing or repeated tokens when a decode endpoint crashes mid-stream. Another engine resumes after
+// the last token index that the entry received.
+TEST_CASE("A stream survives the crash of its decode endpoint", "[promise]")
 {
-    fleet where({});
-    where.start();
-    streaming_caller caller(where, 1, prompt, 60);
+    fleet testFleet({});
+    testFleet.start();
+    streaming_caller caller(testFleet, 1, prompt, 60);
     REQUIRE(caller.readUntil(expectedToken(prompt, 5)));
-    where.fault(decodeOf(where), R"({"crash":true})");
+    testFleet.fault(findActiveDecodeEndpoint(testFleet), R"({"crash":true})");
     caller.readAll();
     CHECK(caller.whole());
     CHECK(caller.text() == expectedText(prompt, 60));
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
 }
 
-// The engine sends every token twice, as after a reconnect of its own. The caller must see each index once.
+// Guards against passing on tokens that an engine sends twice, as after a reconnect.
 TEST_CASE("Duplicate tokens reach the caller once", "[promise]")
 {
-    fleet where({});
-    where.start();
+    fleet testFleet({});
+    testFleet.start();
     for (const char* endpoint : { "decode-1", "decode-2" })
-        where.fault(endpoint, R"({"duplicate_tokens":true})");
-    auto answer = where.complete(2, prompt, 40);
-    CHECK(answer.status == 200);
-    CHECK(answer.body.find(expectedText(prompt, 40)) != std::string::npos);
+        testFleet.fault(endpoint, R"({"duplicate_tokens":true})");
+    auto response = testFleet.complete(2, prompt, 40);
+    CHECK(response.status == 200);
+    CHECK(response.body.find(expectedText(prompt, 40)) != std::string::npos);
 }
 
-// An engine loses a token of its stream. Waiting can't mend it; the entry must not pass on an answer with a hole, so
-// another engine resumes at the missing index.
-TEST_CASE("A lost token is made up by another engine", "[promise]")
+// Guards against a gap in the response when an engine loses a token. The token never arrives, so another engine resumes
+// at the missing index.
+TEST_CASE("A lost token is recovered from another engine", "[promise]")
 {
-    fleet where({});
-    where.start();
-    where.fault("decode-1", R"({"lose_token":true})");
-    checkWholeAnswers(where, " hole ", 6, 30);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
+    fleet testFleet({});
+    testFleet.start();
+    testFleet.fault("decode-1", R"({"lose_token":true})");
+    checkCompleteResponses(testFleet, " hole ", 6, 30);
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
 }
 
-// An engine mixes up two streams and sends another request's tokens. Nobody may read a neighbour's answer: the
-// entry finds the foreign tag, drops the stream and asks another engine.
-TEST_CASE("A crossed answer never reaches the caller", "[promise]")
+// Guards against disclosing another caller's response when an engine mixes up two streams. The entry detects the
+// wrong tag, drops the stream and retries on another engine.
+TEST_CASE("Tokens of another request never reach the caller", "[promise]")
 {
-    fleet where({});
-    where.start();
-    where.fault("decode-1", R"({"cross_answers":true})");
-    checkWholeAnswers(where, "", 6, 30);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
+    fleet testFleet({});
+    testFleet.start();
+    testFleet.fault("decode-1", R"({"cross_answers":true})");
+    checkCompleteResponses(testFleet, "", 6, 30);
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
 }
 
-// Every engine that could serve is gone mid-stream. A cut answer must not look whole: the caller gets an error event
-// and no end mark.
-TEST_CASE("An answer that can't be finished never looks whole", "[promise]")
+// Guards against a truncated response that looks complete when no engine is left mid-stream. The caller gets an error
+// event and no end marker.
+TEST_CASE("A response that can't be completed never looks complete", "[promise]")
 {
-    fleet_shape shape;
-    shape.decode = 1;
-    fleet where(shape);
-    where.start();
-    where.fault("decode-1", R"({"break_after_tokens":5})");
-    streaming_caller caller(where, 1, prompt, 60);
+    fleet_shape options;
+    options.decode = 1;
+    fleet testFleet(options);
+    testFleet.start();
+    testFleet.fault("decode-1", R"({"break_after_tokens":5})");
+    streaming_caller caller(testFleet, 1, prompt, 60);
     caller.readAll();
     CHECK(!caller.whole());
     CHECK(caller.received().find("\"run\":\"may_have_run\"") != std::string::npos);
     CHECK(caller.received().find("\r\n0\r\n\r\n") == std::string::npos);
 }
 
-// The link to one decode endpoint stalls in the middle of a transfer. The request must not hang on it, and neither
-// end may go on holding its KV cache.
-TEST_CASE("A stalled transfer is given up, freed at both ends and made elsewhere", "[promise]")
+// Guards against a request that hangs, or a KV cache that stays allocated at either endpoint, when the link to a decode
+// endpoint stalls during a transfer.
+TEST_CASE("A stalled transfer is cancelled, freed at both endpoints and retried on another", "[promise]")
 {
-    fleet where({});
-    where.start();
-    where.fault("decode-1", R"({"stall_transfers":true})");
-    checkWholeAnswers(where, " stall ", 4, 20);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
-    CHECK(eventually([&] { return where.statSum("held") == 0; }));
+    fleet testFleet({});
+    testFleet.start();
+    testFleet.fault("decode-1", R"({"stall_transfers":true})");
+    checkCompleteResponses(testFleet, " stall ", 4, 20);
+    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
+    CHECK(eventually([&] { return testFleet.statSum("held") == 0; }));
 }
