--- a/Source/entry/engine_cleanup.cpp
+++ b/Source/entry/engine_cleanup.cpp
@@ -7,7 +7,7 @@
 namespace {
     constexpr milliseconds firstPause { 50 };
     constexpr milliseconds longestPause { 1000 };
-    /// An endpoint silent for longer is out of every pool; the custodian frees what it holds when it comes back.
+    /// An endpoint silent for longer is out of every pool; the scheduler's orphan collector frees its requests when it returns.
     constexpr milliseconds cancelFor { 10000 };
 
     task_of<void> cancelUntilConfirmed(entry_context& context, std::string address, std::string tag)
