--- a/Source/entry/announcement_relay.cpp
+++ b/Source/entry/announcement_relay.cpp
@@ -19,7 +19,7 @@
 {
     auto& latest = m_latest[announcement.id()];
     latest = { std::move(announcement), m_loop.now() };
-    if (const auto* owner = m_session.owner(selectShard(latest.announcement)))
+    if (const auto* owner = m_session.findOwner(selectShard(latest.announcement)))
         forward(latest, *owner);
 }
 
--- a/Source/entry/engine_cleanup.cpp
+++ b/Source/entry/engine_cleanup.cpp
@@ -7,7 +7,8 @@
 namespace {
     constexpr milliseconds initialRetryDelay { 50 };
     constexpr milliseconds maxRetryDelay { 1000 };
-    /// An endpoint silent for longer has been removed from every pool; the custodian frees what it holds when it returns.
+    /// An endpoint silent for longer has been removed from every pool; the scheduler's orphan collector frees its requests when
+    /// it returns.
     constexpr milliseconds cancelRetryTimeout { 10000 };
 
     task_of<void> cancelUntilConfirmed(entry_context& context, std::string address, std::string tag)
--- a/Source/entry/entry_node.cpp
+++ b/Source/entry/entry_node.cpp
@@ -9,7 +9,7 @@
                m_limits.handleOwnerChanges();
                m_announcements.handleOwnerChanges();
                m_placements.handleOwnerChanges(); },
-              [this] { std::atomic_store(&m_poison, std::make_shared<const poison_list>(m_session.poison())); }, {} })
+              [this] { std::atomic_store(&m_poison, std::make_shared<const poison_list>(m_session.poisonMarks())); }, {} })
     , m_limits(loop, m_session, limitTimeout)
     , m_placements(loop, m_session, counters)
     , m_announcements(loop, m_session)
--- a/Source/entry/limit_client.cpp
+++ b/Source/entry/limit_client.cpp
@@ -39,7 +39,7 @@
 
 void limit_client::sendRequest(pending_request& pending)
 {
-    const auto* owner = m_session.owner(limitShard(pending.organisation));
+    const auto* owner = m_session.findOwner(limitShard(pending.organisation));
     if (!owner)
         return;
     pending.requestEpoch = owner->epoch();
@@ -90,7 +90,7 @@
 
 void limit_client::sendRefund(const returned_tokens& returned)
 {
-    const auto* owner = m_session.owner(limitShard(returned.organisation));
+    const auto* owner = m_session.findOwner(limitShard(returned.organisation));
     if (!owner)
         return;
     wire::envelope message;
@@ -118,7 +118,7 @@
 void limit_client::handleOwnerChanges()
 {
     for (auto& [id, pending] : m_pending) {
-        const auto* owner = m_session.owner(limitShard(pending.organisation));
+        const auto* owner = m_session.findOwner(limitShard(pending.organisation));
         if (owner && owner->epoch() != pending.requestEpoch)
             sendRequest(pending);
     }
--- a/Source/entry/placement_client.cpp
+++ b/Source/entry/placement_client.cpp
@@ -35,7 +35,7 @@
 
 void placement_client::sendRequest(pending_request& pending)
 {
-    const auto* owner = m_session.owner(pending.request.shard());
+    const auto* owner = m_session.findOwner(pending.request.shard());
     if (!owner)
         return;
     pending.requestEpoch = owner->epoch();
@@ -107,7 +107,7 @@
 
 void placement_client::sendProgress(wire::progress report, int attemptsLeft)
 {
-    const auto* owner = m_session.owner(report.shard());
+    const auto* owner = m_session.findOwner(report.shard());
     if (!owner || attemptsLeft == 0)
         return; // A new owner learns of running requests by the held report, and never knew those that have ended.
     report.set_epoch(owner->epoch());
@@ -126,7 +126,7 @@
 
 void placement_client::sendCrash(wire::crash_report report, int attemptsLeft)
 {
-    const auto* owner = m_session.owner(report.shard());
+    const auto* owner = m_session.findOwner(report.shard());
     if (!owner || attemptsLeft == 0)
         return;
     wire::envelope message;
@@ -167,7 +167,7 @@
         reportHeldPlacements(owner);
     }
     for (auto& [key, pending] : m_pending) {
-        const auto* owner = m_session.owner(pending.request.shard());
+        const auto* owner = m_session.findOwner(pending.request.shard());
         if (owner && owner->epoch() != pending.requestEpoch)
             sendRequest(pending);
     }
