--- a/Source/forwarding/call_forwarder.h
+++ b/Source/forwarding/call_forwarder.h
@@ -19,11 +19,11 @@
     const clock_source& clock;
     metrics& counters;
     control_link& link;
-    token_limiter& tokenAccount;
+    token_limiter& tokenLimiter;
     endpoint_registry& endpoints;
     connection_pool& pool;
     shared_retry_budget& retryBudget;
-    output_estimator& outputForecast;
+    output_estimator& outputEstimator;
     std::mt19937_64& random;
     /// Whether the entry is shutting down; responses then close their connections.
     const bool& draining;
--- a/Source/forwarding/call_forwarder_models.h
+++ b/Source/forwarding/call_forwarder_models.h
@@ -58,8 +58,8 @@
         }
         m_shared.endpoints.removeRunningCall(m_callId);
         auto generating = m_generationStartedAt == time_point {} ? milliseconds(0) : std::chrono::duration_cast<milliseconds>(m_shared.clock.now() - m_generationStartedAt);
-        m_measurements.generated = m_endpointEvents * m_service->engine->tokensPerEvent;
-        m_measurements.generating = generating;
+        m_measurements.generatedTokens = m_endpointEvents * m_service->engine->tokensPerEvent;
+        m_measurements.generationTime = generating;
         m_shared.link.reportFinished({ m_callId, std::exchange(m_measurements, {}), std::exchange(m_outcomes, {}) });
         if (outcome == attempt_outcome::Completed)
             co_return;
@@ -94,7 +94,7 @@
 {
     if (!m_metadata.tokens)
         return 0;
-    return m_shared.outputForecast.expect(m_route->name, m_metadata.tokens->output, m_metadata.outputTokensHint);
+    return m_shared.outputEstimator.estimate(m_route->name, m_metadata.tokens->output, m_metadata.outputTokensHint);
 }
 
 template <call_codec Codec>
@@ -241,9 +241,9 @@
             m_hasPrefilled = true;
             m_prefillEndpointId = endpoint->id;
             m_prefill = prefill_result { endpoint->address, endpoint->dataCentre, *handle, m_shared.clock.now() };
-            m_measurements.readTokens = m_metadata.tokens ? m_metadata.tokens->prompt : 0;
+            m_measurements.prefillTokens = m_metadata.tokens ? m_metadata.tokens->prompt : 0;
             m_prefillDuration = std::chrono::duration_cast<milliseconds>(m_prefill->completedAt - now);
-            m_measurements.reading = m_prefillDuration;
+            m_measurements.prefillTime = m_prefillDuration;
             co_return;
         }
         if (!isAborted())
--- a/Source/forwarding/call_forwarder_streams.h
+++ b/Source/forwarding/call_forwarder_streams.h
@@ -22,7 +22,7 @@
     if (m_generationStartedAt == time_point {}) {
         m_generationStartedAt = m_shared.clock.now();
         if (m_prefill)
-            m_measurements.firstEvent = std::chrono::duration_cast<milliseconds>(m_generationStartedAt - m_prefill->completedAt);
+            m_measurements.firstEventDelay = std::chrono::duration_cast<milliseconds>(m_generationStartedAt - m_prefill->completedAt);
     }
     m_endpointEvents += count;
     m_eventsForwarded += count;
@@ -172,7 +172,7 @@
     m_outcome = "answered";
     recordOutcome(endpoint.id, endpoint_outcome::Succeeded);
     if (m_metadata.resumeAfterEventId.empty() && m_service->engine)
-        m_shared.outputForecast.learn(m_route->name, m_eventsForwarded * m_service->engine->tokensPerEvent);
+        m_shared.outputEstimator.record(m_route->name, m_eventsForwarded * m_service->engine->tokensPerEvent);
     releaseConnection(endpoint.id, response);
     co_return attempt_outcome::Completed;
 }
