--- a/Source/command/operator_client.cpp
+++ b/Source/command/operator_client.cpp
@@ -13,10 +13,10 @@
     constexpr milliseconds pause { 300 };
     constexpr unsigned unavailable = 503;
 
-    http_answer fetchOnce(const std::string& address, const http_call& call)
+    http_response fetchOnce(const std::string& address, const http_request& call)
     {
         boost::asio::io_context context;
-        http_answer answer;
+        http_response answer;
         auto run = [&]() -> task_of<void> { answer = co_await http_client::fetch(address, call, connectTimeout, answerTimeout); };
         boost::asio::co_spawn(context, run, boost::asio::detached);
         context.run();
@@ -26,7 +26,7 @@
 
 result<operator_answer> operator_client::call(const std::string& method, const std::string& target, const std::string& body) const
 {
-    http_call call;
+    http_request call;
     call.method = method;
     call.target = target;
     call.headers = { { "Authorization", "Bearer " + m_settings.token }, { "Content-Type", "application/json" } };
--- a/Source/consensus/file_log_store.cpp
+++ b/Source/consensus/file_log_store.cpp
@@ -159,7 +159,7 @@
         // The identity is synced before anything else, so no vote can be given under an identity that a crash forgets.
         if (::access(path(logFile).c_str(), F_OK) == 0)
             return failure { fmt::format("{}: a log without an incarnation file; restore the file or empty the folder", folder) };
-        replica.incarnation = identityIfFresh.value_or(freshIncarnation());
+        replica.incarnation = identityIfFresh.value_or(generateIncarnation());
         BOOST_OUTCOME_TRYV(writeWhole(incarnationFile, std::to_string(replica.incarnation)));
     }
     BOOST_OUTCOME_TRY(auto hardState, readWhole(hardStateFile, present));
--- a/Source/control/control_node.cpp
+++ b/Source/control/control_node.cpp
@@ -17,7 +17,7 @@
     wire::replica_id self;
     self.set_vm(wire.vm);
     self.set_address(wire.advertise);
-    self.set_incarnation(freshIncarnation());
+    self.set_incarnation(generateIncarnation());
     return { self, replica_store(memory_log_store()), {} };
 }
 
@@ -47,7 +47,7 @@
     m_applied = replica.restored.snapshot.index();
     if (m_applied > 0 && !m_state.load(replica.restored.snapshot.state()))
         std::abort(); // The snapshot's checksum was right, so its content is a broken invariant.
-    raft_core core(m_self, raft_settings {}, freshIncarnation(), std::move(replica.restored), m_clock.now());
+    raft_core core(m_self, raft_settings {}, generateIncarnation(), std::move(replica.restored), m_clock.now());
     m_host.emplace(std::move(core), std::move(replica.store), effects());
 }
 
--- a/Source/control/main.cpp
+++ b/Source/control/main.cpp
@@ -26,7 +26,7 @@
     }
 
     /// A control process: a replica of the log and the operators' interface.
-    class control_process : public wired_process {
+    class control_process : public server_process {
     public:
         control_settings settings;
         /// Begin a new log. A flag and no setting: left in a settings file it would let a VM whose disk was
--- a/Source/control/operator_api.cpp
+++ b/Source/control/operator_api.cpp
@@ -36,7 +36,7 @@
         return boost::json::serialize(body);
     }
 
-    http_refusal refusal(reason why)
+    http_error_response refusal(reason why)
     {
         return { httpStatus(why), jsonType, errorJson(std::string(reasonName(why)), std::string(reasonAdvice(why))), {} };
     }
--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -22,10 +22,10 @@
     , m_metrics(counters)
     , m_settings(settings)
     , m_decode(std::move(decode))
-    , m_directory(freshIncarnation(), settings.directory)
+    , m_directory(generateIncarnation(), settings.directory)
     , m_blocks({ settings.directory.silentAfter })
     , m_pieceTimer(context)
-    , m_planner(freshIncarnation())
+    , m_planner(generateIncarnation())
     , m_planTimer(context)
     , m_timer(context)
     , m_limitTimer(context)
@@ -163,7 +163,7 @@
     m_waiting.clear();
     m_waitingPlans.clear();
     m_queue.clear();
-    m_planner = engine_planner(freshIncarnation());
+    m_planner = engine_planner(generateIncarnation());
     m_planned = 0;
     m_limits.reset();
     m_limited.clear();
--- a/Source/coordination/stage_orders.h
+++ b/Source/coordination/stage_orders.h
@@ -26,9 +26,9 @@
 
 /// How orders are written on the wire.
 struct order_dialect {
-    std::function<http_call()> encodeQuestion;
+    std::function<http_request()> encodeQuestion;
     std::function<std::optional<order_readiness>(const std::string& body)> decodeReadiness;
-    std::function<http_call(const stage_order&)> encodeOrder;
+    std::function<http_request(const stage_order&)> encodeOrder;
 };
 
 /// Gives orders to endpoints and says what came of them. An order without an answer may have been accepted; the endpoint's
--- a/Source/endpoints/http_json_endpoint.cpp
+++ b/Source/endpoints/http_json_endpoint.cpp
@@ -11,16 +11,16 @@
     constexpr unsigned statusConflict = 409;
     constexpr unsigned statusGone = 410;
 
-    http_call makeCall(const char* target, const json::object& body)
+    http_request makeCall(const char* target, const json::object& body)
     {
-        http_call call;
+        http_request call;
         call.target = target;
         call.headers = { { "Content-Type", "application/json" } };
         call.body = json::serialize(body);
         return call;
     }
 
-    endpoint_status statusOf(const http_answer& answer)
+    endpoint_status statusOf(const http_response& answer)
     {
         switch (answer.failed) {
         case call_failure::NotSent:
@@ -135,8 +135,8 @@
 {
     auto call = makeCall("/kv/import", importBody(order));
     http_client client(co_await boost::asio::this_coro::executor);
-    http_answer head;
-    head.failed = co_await client.start(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
+    http_response head;
+    head.failed = co_await client.send(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
     if (head.failed == call_failure::None)
         head.failed = co_await client.readHead(m_timeouts.transferProgress);
     if (head.failed == call_failure::None)
@@ -171,8 +171,8 @@
     m_tag = order.tag;
     m_events = {};
     m_stream.emplace(co_await boost::asio::this_coro::executor);
-    http_answer head;
-    head.failed = co_await m_stream->start(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
+    http_response head;
+    head.failed = co_await m_stream->send(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
     if (head.failed == call_failure::None)
         head.failed = co_await m_stream->readHead(m_timeouts.tokenProgress);
     if (head.failed == call_failure::None)
@@ -189,7 +189,7 @@
 
 task_of<held_items> http_json_endpoint::held()
 {
-    http_call call;
+    http_request call;
     call.method = "GET";
     call.target = "/requests";
     auto answer = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
--- a/Source/entry/caller_api.cpp
+++ b/Source/entry/caller_api.cpp
@@ -46,11 +46,11 @@
     return fmt::format("{}.{}", m_context.node.self().name, randomHex(idBytes));
 }
 
-http_refusal caller_api::refuse(reason why) const
+http_error_response caller_api::refuse(reason why) const
 {
     m_context.counters.countRefusal(why);
     caller_error error { why, run_state::NotRun, why == reason::TooManyConnections ? noConfigRetry : milliseconds(0), "" };
-    http_refusal refusal { httpStatus(why), jsonType, errorBody(error, nextRequestId()), {} };
+    http_error_response refusal { httpStatus(why), jsonType, errorBody(error, nextRequestId()), {} };
     if (error.retryAfter.count() > 0)
         refusal.headers.emplace_back("Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count()));
     return refusal;
@@ -60,7 +60,7 @@
 {
     using namespace boost::asio::experimental::awaitable_operators;
     auto requestId = nextRequestId();
-    auto ended = co_await (guardedRoute(exchange, requestId) || exchange.callerGone());
+    auto ended = co_await (guardedRoute(exchange, requestId) || exchange.waitForDisconnect());
     constexpr std::size_t callerLeft = 1;
     if (ended.index() != callerLeft)
         co_return;
--- a/Source/entry/caller_api.h
+++ b/Source/entry/caller_api.h
@@ -15,7 +15,7 @@
     /// Answers one request of an endpoint (POST /announce).
     task_of<void> handleEndpoint(http_exchange& exchange);
     /// The answer to a request that could not be read.
-    http_refusal refuse(reason why) const;
+    http_error_response refuse(reason why) const;
 
 private:
     /// Routes a request and turns a fault of this program into an answer.
--- a/Source/entry/caller_errors.cpp
+++ b/Source/entry/caller_errors.cpp
@@ -33,7 +33,7 @@
 
 task_of<void> sendError(http_exchange& exchange, const caller_error& error, const std::string& requestId, metrics& counters)
 {
-    if (exchange.answered())
+    if (exchange.responseStarted())
         co_return;
     counters.countRefusal(error.why);
     http_headers headers { { "X-Request-Id", requestId } };
--- a/Source/entry/main.cpp
+++ b/Source/entry/main.cpp
@@ -6,7 +6,7 @@
 namespace pistachiolatch {
 
 namespace {
-    class entry_process : public wired_process {
+    class entry_process : public server_process {
     public:
         entry_settings settings;
 
@@ -29,7 +29,7 @@
             m_context->draining = true;
             m_callers->stopAccepting();
             waitUntilIdle();
-            sayGoodbye([this] { m_node->leave(); });
+            runFinalTask([this] { m_node->leave(); });
             registry.stopAll();
         }
 
--- a/Source/entry/model_call.cpp
+++ b/Source/entry/model_call.cpp
@@ -185,13 +185,13 @@
     }
     if (!m_request.stream)
         co_return true;
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         http_headers headers { { "X-Request-Id", m_caller.requestId }, { "Cache-Control", "no-cache" } };
         if (!co_await m_exchange.beginStream(200, "text/event-stream", headers))
             co_return false;
     }
     auto event = sseEvent(formatPiece(m_identity, text));
-    co_return co_await m_exchange.writePiece(event);
+    co_return co_await m_exchange.writeChunk(event);
 }
 
 task_of<void> model_call::finishAnswer()
@@ -206,27 +206,27 @@
         co_await m_exchange.respond(200, "application/json", std::move(body), headers);
         co_return;
     }
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         http_headers headers { { "X-Request-Id", m_caller.requestId }, { "Cache-Control", "no-cache" } };
         if (!co_await m_exchange.beginStream(200, "text/event-stream", headers))
             co_return;
     }
     auto ending = sseEvent(formatLastPiece(m_identity, m_output.finishReason, usage)) + sseEvent("[DONE]");
-    if (co_await m_exchange.writePiece(ending))
+    if (co_await m_exchange.writeChunk(ending))
         co_await m_exchange.endStream();
 }
 
 task_of<void> model_call::fail(const caller_error& error)
 {
     m_context.node.journal().note(m_caller.requestId, "refused", { { "reason", reasonName(error.why) }, { "run", runStateName(error.run) } });
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         co_await sendError(m_exchange, error, m_caller.requestId, m_context.counters);
         co_return;
     }
     // The answer is under way: its end is an error event and a connection cut short, never the mark of a whole answer.
     m_context.counters.countRefusal(error.why);
     auto event = sseEvent(errorBody(error, m_caller.requestId));
-    co_await m_exchange.writePiece(event);
+    co_await m_exchange.writeChunk(event);
     m_exchange.abortStream();
 }
 
--- a/Source/entry/service_call.cpp
+++ b/Source/entry/service_call.cpp
@@ -25,10 +25,10 @@
         return result;
     }
 
-    http_call callTo(const service_request& request)
+    http_request callTo(const service_request& request)
     {
         // Built from an allow-list: whatever else the caller sent, its key above all, stays here.
-        http_call call;
+        http_request call;
         call.method = request.method;
         call.target = request.target;
         call.headers = { { "X-Request-Id", request.caller.requestId }, { "X-Organisation", request.caller.organisation } };
--- a/Source/http/admin_server.cpp
+++ b/Source/http/admin_server.cpp
@@ -5,7 +5,7 @@
 namespace {
     constexpr const char* plainText = "text/plain; charset=utf-8";
 
-    http_refusal plainRefusal(reason why)
+    http_error_response plainRefusal(reason why)
     {
         return { httpStatus(why), plainText, std::string(reasonAdvice(why)) + "\n", {} };
     }
--- a/Source/http/http_client.cpp
+++ b/Source/http/http_client.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-task_of<call_failure> http_client::start(const std::string& address, const http_call& call, milliseconds connectTimeout, milliseconds sendTimeout)
+task_of<call_failure> http_client::send(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds sendTimeout)
 {
     if (!isAddress(address))
         co_return call_failure::NotSent;
@@ -93,11 +93,11 @@
     }
 }
 
-task_of<http_answer> http_client::fetch(const std::string& address, const http_call& call, milliseconds connectTimeout, milliseconds timeout)
+task_of<http_response> http_client::fetch(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds timeout)
 {
-    http_answer answer;
+    http_response answer;
     http_client client(co_await asio::this_coro::executor);
-    answer.failed = co_await client.start(address, call, connectTimeout, timeout);
+    answer.failed = co_await client.send(address, call, connectTimeout, timeout);
     if (answer.failed != call_failure::None)
         co_return answer;
     answer.failed = co_await client.readHead(timeout);
--- a/Source/http/http_client.h
+++ b/Source/http/http_client.h
@@ -16,14 +16,14 @@
     Stalled,
 };
 
-struct http_call {
+struct http_request {
     std::string method = "POST";
     std::string target;
     http_headers headers;
     std::string body;
 };
 
-struct http_answer {
+struct http_response {
     call_failure failed = call_failure::None;
     unsigned status = 0;
     std::string contentType;
@@ -44,7 +44,7 @@
     }
 
     /// Connects and sends the request. Returns None on success.
-    task_of<call_failure> start(const std::string& address, const http_call& call, milliseconds connectTimeout, milliseconds sendTimeout);
+    task_of<call_failure> send(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds sendTimeout);
     /// Reads status and headers.
     task_of<call_failure> readHead(milliseconds timeout);
     unsigned status() const { return m_parser->get().result_int(); }
@@ -53,10 +53,10 @@
     /// Reads the next bytes of the body; empty at its end. Precondition: readHead() succeeded.
     task_of<call_failure> readPiece(std::string& piece, milliseconds timeout);
     /// Whether the whole answer was read.
-    bool whole() const { return m_parser && m_parser->is_done(); }
+    bool isComplete() const { return m_parser && m_parser->is_done(); }
 
     /// Makes a whole call.
-    static task_of<http_answer> fetch(const std::string& address, const http_call& call, milliseconds connectTimeout, milliseconds timeout);
+    static task_of<http_response> fetch(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds timeout);
 
 private:
     boost::beast::tcp_stream m_stream;
--- a/Source/http/http_exchange.cpp
+++ b/Source/http/http_exchange.cpp
@@ -36,9 +36,9 @@
 
 task_of<bool> http_exchange::respond(unsigned status, const std::string& contentType, std::string body, const http_headers& headers)
 {
-    if (m_answered)
+    if (m_responseStarted)
         co_return false;
-    m_answered = true;
+    m_responseStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(status), httpVersion11);
     if (!contentType.empty())
         response.set(http::field::content_type, contentType);
@@ -57,9 +57,9 @@
 
 task_of<bool> http_exchange::beginStream(unsigned status, const std::string& contentType, const http_headers& headers)
 {
-    if (m_answered)
+    if (m_responseStarted)
         co_return false;
-    m_answered = true;
+    m_responseStarted = true;
     http::response<http::empty_body> response(static_cast<http::status>(status), httpVersion11);
     response.set(http::field::content_type, contentType);
     for (const auto& [name, value] : headers)
@@ -82,7 +82,7 @@
     co_return !error;
 }
 
-task_of<bool> http_exchange::writePiece(const std::string& piece)
+task_of<bool> http_exchange::writeChunk(const std::string& piece)
 {
     auto framed = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
     co_return co_await write(framed);
@@ -101,7 +101,7 @@
     m_stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
 }
 
-task_of<void> http_exchange::callerGone()
+task_of<void> http_exchange::waitForDisconnect()
 {
     auto& socket = m_stream.socket();
     auto [error] = co_await socket.async_wait(asio::socket_base::wait_read, asTuple);
--- a/Source/http/http_exchange.h
+++ b/Source/http/http_exchange.h
@@ -34,7 +34,7 @@
     /// A header's value, empty when it is missing.
     std::string header(std::string_view name) const;
     /// Whether an answer was begun. A second one is not sent.
-    bool answered() const { return m_answered; }
+    bool responseStarted() const { return m_responseStarted; }
     /// Whether the connection can carry another request.
     bool keepAlive() const { return m_keepAlive; }
     /// Closes the connection after this answer.
@@ -45,12 +45,12 @@
     /// Begins an answer in pieces. Each write waits until the caller's connection takes it, so a slow caller holds
     /// back its source and memory does not grow.
     task_of<bool> beginStream(unsigned status, const std::string& contentType, const http_headers& headers = {});
-    task_of<bool> writePiece(const std::string& piece);
+    task_of<bool> writeChunk(const std::string& piece);
     task_of<bool> endStream();
     /// Ends the connection without the end mark, so that the caller can't take a cut answer for a whole one.
     void abortStream();
     /// Completes when the caller has closed the connection.
-    task_of<void> callerGone();
+    task_of<void> waitForDisconnect();
 
 private:
     task_of<bool> write(const std::string& bytes);
@@ -58,7 +58,7 @@
     boost::beast::tcp_stream& m_stream;
     request m_request;
     milliseconds m_writeTimeout;
-    bool m_answered = false;
+    bool m_responseStarted = false;
     bool m_keepAlive = true;
 };
 
--- a/Source/http/http_server.cpp
+++ b/Source/http/http_server.cpp
@@ -34,7 +34,7 @@
         return error.category() == make_error_code(http::error::bad_method).category();
     }
 
-    task_of<void> sendRefusal(beast::tcp_stream& stream, const http_refusal& refusal, milliseconds timeout)
+    task_of<void> sendRefusal(beast::tcp_stream& stream, const http_error_response& refusal, milliseconds timeout)
     {
         http_exchange exchange(stream, {}, timeout);
         exchange.closeAfter();
@@ -109,7 +109,7 @@
     return ok();
 }
 
-http_server::http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_refuser refuser)
+http_server::http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter refuser)
     : m_threads(threads)
     , m_state(std::make_shared<shared_state>())
     , m_acceptor(threads.first())
@@ -208,7 +208,7 @@
         if (state->draining)
             exchange.closeAfter();
         co_await state->handler(exchange);
-        if (!exchange.answered() || !exchange.keepAlive() || state->draining)
+        if (!exchange.responseStarted() || !exchange.keepAlive() || state->draining)
             co_return;
     }
 }
--- a/Source/http/http_server.h
+++ b/Source/http/http_server.h
@@ -20,7 +20,7 @@
 };
 
 /// An answer to a request that could not be read, in the shape that this address's callers expect.
-struct http_refusal {
+struct http_error_response {
     unsigned status = 400;
     std::string contentType;
     std::string body;
@@ -28,13 +28,13 @@
 };
 
 using http_handler = std::function<task_of<void>(http_exchange&)>;
-using http_refuser = std::function<http_refusal(reason why)>;
+using http_error_formatter = std::function<http_error_response(reason why)>;
 
 /// Accepts connections on one address and hands each request to the handler. A connection stays on one thread.
 class http_server {
 public:
     /// Precondition: the threads outlive the server.
-    http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_refuser refuser);
+    http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter refuser);
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
@@ -53,7 +53,7 @@
     struct shared_state {
         http_limits limits;
         http_handler handler;
-        http_refuser refuser;
+        http_error_formatter refuser;
         std::atomic<unsigned> active { 0 };
         std::atomic<unsigned> connections { 0 };
         std::atomic<bool> draining { false };
--- a/Source/kernel/process_identity.cpp
+++ b/Source/kernel/process_identity.cpp
@@ -5,7 +5,7 @@
 
 namespace pistachiolatch {
 
-std::uint64_t freshIncarnation()
+std::uint64_t generateIncarnation()
 {
     // Wall-clock milliseconds order the runs of one VM; random low bits tell two runs of one millisecond apart.
     constexpr unsigned randomBits = 20;
--- a/Source/kernel/process_identity.h
+++ b/Source/kernel/process_identity.h
@@ -13,6 +13,6 @@
 };
 
 /// A fresh incarnation; never zero. Thread safety: any thread.
-std::uint64_t freshIncarnation();
+std::uint64_t generateIncarnation();
 
 } // namespace pistachiolatch
--- a/Source/load/load_runner.cpp
+++ b/Source/load/load_runner.cpp
@@ -94,14 +94,14 @@
     }
 }
 
-http_call load_runner::modelCall(const traffic_stream& stream, const std::string& prompt) const
+http_request load_runner::modelCall(const traffic_stream& stream, const std::string& prompt) const
 {
     json::object body;
     body["model"] = stream.target;
     body["prompt"] = prompt;
     body["max_tokens"] = stream.maxTokens;
     body["stream"] = true;
-    http_call call;
+    http_request call;
     call.target = "/v1/completions";
     call.headers = { { "Authorization", "Bearer " + m_target.keys.at(stream.organisation) }, { "Content-Type", "application/json" } };
     call.body = json::serialize(body);
@@ -116,7 +116,7 @@
     outcome.intended = request.at;
     auto call = modelCall(stream, request.prompt);
     http_client client(m_context.get_executor());
-    auto failed = co_await client.start(nextEntry(), call, connectTimeout, answerTimeout);
+    auto failed = co_await client.send(nextEntry(), call, connectTimeout, answerTimeout);
     if (failed == call_failure::None)
         failed = co_await client.readHead(answerTimeout);
     if (failed != call_failure::None) {
@@ -134,7 +134,7 @@
         }
     }
     outcome.finished = sinceStart();
-    judge(answer, client.whole(), request, outcome);
+    judge(answer, client.isComplete(), request, outcome);
     keep(std::move(outcome));
 }
 
@@ -187,7 +187,7 @@
     outcome.stream = request.stream;
     outcome.intended = request.at;
     auto marker = fmt::format("call {}", request.number);
-    http_call call;
+    http_request call;
     call.method = stream.method;
     call.target = fmt::format("/services/{}/{}", stream.target, request.number);
     call.headers = { { "Authorization", "Bearer " + m_target.keys.at(stream.organisation) } };
--- a/Source/load/load_runner.h
+++ b/Source/load/load_runner.h
@@ -33,7 +33,7 @@
         bool last = false;
         bool ended = false;
     };
-    http_call modelCall(const traffic_stream& stream, const std::string& prompt) const;
+    http_request modelCall(const traffic_stream& stream, const std::string& prompt) const;
     /// Reads and takes in the next bytes; false at the end of the answer.
     task_of<bool> readSome(http_client& client, received_answer& answer, request_outcome& outcome);
     void judge(const received_answer& answer, bool connectionWhole, const planned_request& request, request_outcome& outcome) const;
--- a/Source/load/main.cpp
+++ b/Source/load/main.cpp
@@ -56,8 +56,8 @@
     {
         for (const auto& address : endpoints) {
             boost::asio::io_context context;
-            http_answer answer;
-            http_call call { "GET", "/stats", {}, "" };
+            http_response answer;
+            http_request call { "GET", "/stats", {}, "" };
             auto run = [&]() -> task_of<void> { answer = co_await http_client::fetch(address, call, milliseconds(1000), milliseconds(3000)); };
             boost::asio::co_spawn(context, run, boost::asio::detached);
             context.run();
--- a/Source/program/program.h
+++ b/Source/program/program.h
@@ -2,4 +2,4 @@
 /// What the long-running programs share: options, settings check, signals, exit codes.
 /// This is the library's one public header.
 #include "program/program_main.h"
-#include "program/wired_process.h"
+#include "program/server_process.h"
--- a/Source/program/program_main.cpp
+++ b/Source/program/program_main.cpp
@@ -16,7 +16,7 @@
         fmt::print(stderr, "{}\n", text);
     }
 
-    int waitForEnd(const program_body& body, const sigset_t& signals)
+    int waitForEnd(const program_definition& body, const sigset_t& signals)
     {
         int signal = 0;
         while (true) {
@@ -34,7 +34,7 @@
     }
 }
 
-std::vector<char*> withSettingsFrom(const char* variable, int argc, char** argv)
+std::vector<char*> addSettingsFromEnvironment(const char* variable, int argc, char** argv)
 {
     static char option[] = "--settings";
     std::vector<char*> arguments(argv, argv + argc);
@@ -47,7 +47,7 @@
     return arguments;
 }
 
-int runProgram(int argc, char** argv, const char* version, program_body body)
+int runProgram(int argc, char** argv, const char* version, program_definition body)
 {
     CLI::App app(body.summary, body.name);
     std::string settingsPath;
--- a/Source/program/program_main.h
+++ b/Source/program/program_main.h
@@ -19,7 +19,7 @@
 };
 
 /// One long-running program.
-struct program_body {
+struct program_definition {
     std::string name;
     std::string summary;
     /// Reads and checks the settings. Errors: every problem found, one a line.
@@ -35,10 +35,10 @@
 
 /// The settings file that a variable of the environment names, as arguments for runProgram(): added when the command
 /// line names none. Precondition: argv lives as long as the process.
-std::vector<char*> withSettingsFrom(const char* variable, int argc, char** argv);
+std::vector<char*> addSettingsFromEnvironment(const char* variable, int argc, char** argv);
 
 /// Parses --help, --version, --check and --settings FILE, then runs until SIGTERM or SIGINT, which stop it
 /// gracefully. Returns the exit code.
-int runProgram(int argc, char** argv, const char* version, program_body body);
+int runProgram(int argc, char** argv, const char* version, program_definition body);
 
 } // namespace pistachiolatch
--- a/Source/program/wired_process.cpp
+++ b/Source/program/server_process.cpp
@@ -1,13 +1,13 @@
-#include "program/wired_process.h"
+#include "program/server_process.h"
 
 #include <thread>
 
 namespace pistachiolatch {
 
-void wired_process::addCore(const char* program, const wire_settings& settings, unsigned trafficThreads)
+void server_process::addCore(const char* program, const wire_settings& settings, unsigned trafficThreads)
 {
     setLogProcess(program, settings.vm);
-    m_wire.emplace(settings, freshIncarnation(), counters);
+    m_wire.emplace(settings, generateIncarnation(), counters);
     registry.add(wireService, *m_wire, { {}, [this] { return m_wire->open(); }, {} });
     m_loop.emplace(registry.find<transport>(wireService), clock);
     auto startLoop = [this] {
@@ -23,13 +23,13 @@
     registry.add(trafficService, *m_threads, { { loopService }, startThreads, [this] { m_threads->stop(); } });
 }
 
-void wired_process::addAdmin(const std::string& address, admin_hooks hooks)
+void server_process::addAdmin(const std::string& address, admin_hooks hooks)
 {
     m_admin = std::make_unique<admin_server>(registry.find<traffic_threads>(trafficService), counters, std::move(hooks));
     addListener(adminService, *m_admin, address, true);
 }
 
-void wired_process::sayGoodbye(control_loop::task lastTask)
+void server_process::runFinalTask(control_loop::task lastTask)
 {
     constexpr milliseconds sendingTime { 100 };
     registry.find<control_loop>(loopService).post(std::move(lastTask));
--- a/Source/program/wired_process.h
+++ b/Source/program/server_process.h
@@ -11,7 +11,7 @@
 /// control thread, traffic threads and the admin port. A program derives from it, adds its own services, and finds
 /// those it uses by name.
 /// Thread safety: the thread that starts the process.
-class wired_process {
+class server_process {
 public:
     /// The names of the services that each process has.
     static constexpr const char* wireService = "wire";
@@ -19,10 +19,10 @@
     static constexpr const char* trafficService = "traffic";
     static constexpr const char* adminService = "admin";
 
-    virtual ~wired_process() = default;
-    wired_process() = default;
-    wired_process(const wired_process&) = delete;
-    wired_process& operator=(const wired_process&) = delete;
+    virtual ~server_process() = default;
+    server_process() = default;
+    server_process(const server_process&) = delete;
+    server_process& operator=(const server_process&) = delete;
 
 protected:
     /// Adds transport, control thread and traffic threads. Precondition: called first.
@@ -40,7 +40,7 @@
     }
     /// Posts a last task to the control thread and leaves its messages a moment to go out: ZeroMQ sends in the
     /// background, and what tells control that this process stops should arrive before it has stopped.
-    void sayGoodbye(control_loop::task lastTask);
+    void runFinalTask(control_loop::task lastTask);
 
     steady_clock_source clock;
     metrics counters;
--- a/Source/replication/document_replica_storage.cpp
+++ b/Source/replication/document_replica_storage.cpp
@@ -35,7 +35,7 @@
     m_self = start.self;
     auto founders = start.founders;
     load(start.restored.snapshot);
-    m_host.emplace(raft_core(m_self, electionSettings(), freshIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
+    m_host.emplace(raft_core(m_self, electionSettings(), generateIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
     if (founders.voters_size() > 0) {
         core().found(founders);
         logEvent("log_founded", { { "voters", founders.voters_size() } });
--- a/Source/scheduler/main.cpp
+++ b/Source/scheduler/main.cpp
@@ -26,7 +26,7 @@
         return reader.finish();
     }
 
-    class scheduler_process : public wired_process {
+    class scheduler_process : public server_process {
     public:
         scheduler_settings settings;
 
@@ -43,7 +43,7 @@
 
         void stop()
         {
-            sayGoodbye([this] { m_node->leave(); });
+            runFinalTask([this] { m_node->leave(); });
             registry.stopAll();
         }
 
--- a/Tests/Bench/latency_bench.cpp
+++ b/Tests/Bench/latency_bench.cpp
@@ -21,7 +21,7 @@
 
 task_of<void> callOnce(route& one)
 {
-    http_call call;
+    http_request call;
     call.method = "GET";
     call.target = one.target;
     if (!one.key.empty())
--- a/Tests/Platform/platform_fleet.cpp
+++ b/Tests/Platform/platform_fleet.cpp
@@ -110,7 +110,7 @@
     boost::asio::io_context context;
     simple_answer answer;
     auto work = [&]() -> task_of<void> {
-        http_call call { method, target, headers, body };
+        http_request call { method, target, headers, body };
         auto got = co_await http_client::fetch(address, call, milliseconds(1000), timeout);
         answer.status = got.status;
         answer.body = got.body;
--- a/Tests/Platform/stand_in_runner.cpp
+++ b/Tests/Platform/stand_in_runner.cpp
@@ -23,7 +23,7 @@
     , m_service(std::move(service))
     , m_stage(std::move(stage))
     , m_server(
-          m_threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_refusal { httpStatus(why), "", "", {} }; })
+          m_threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_error_response { httpStatus(why), "", "", {} }; })
 {
     auto listening = m_server.listen(address);
     if (!listening)
@@ -126,7 +126,7 @@
     for (auto i = first; i < eventsOfStream; ++i) {
         if (mode == runner_mode::BreakMidway && first == 0 && i == 2) {
             std::string half = fmt::format("id: {}\nda", i);
-            co_await exchange.writePiece(half);
+            co_await exchange.writeChunk(half);
             exchange.abortStream();
             co_return;
         }
@@ -135,7 +135,7 @@
             co_await pause.async_wait(boost::asio::use_awaitable);
         }
         std::string event = fmt::format("id: {}\ndata: piece {}\n\n", i, i);
-        bool written = co_await exchange.writePiece(event);
+        bool written = co_await exchange.writeChunk(event);
         if (!written)
             co_return;
         pause.expires_after(m_pace.load());
--- a/Tests/StandIn/stand_in_engine.cpp
+++ b/Tests/StandIn/stand_in_engine.cpp
@@ -68,8 +68,8 @@
     , m_world(world)
     , m_announceTo(std::move(announceTo))
     , m_server(
-          threads, http_limits {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_refusal { httpStatus(why), jsonType, "{}", {} }; })
-    , m_incarnation(freshIncarnation())
+          threads, http_limits {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_error_response { httpStatus(why), jsonType, "{}", {} }; })
+    , m_incarnation(generateIncarnation())
 {
 }
 
@@ -220,7 +220,7 @@
 
 task_of<bool> stand_in_engine::callSource(std::string source, std::string kv, std::string phase, json_object& answer)
 {
-    http_call call;
+    http_request call;
     call.target = "/kv/export";
     json::object body;
     body["kv"] = kv;
@@ -243,7 +243,7 @@
     ++m_importWaiting;
     while (batch() >= m_profile.slots && !dead(life) && !m_cancelled.count(tag)) {
         auto beat = tagged(tag, "waiting");
-        if (!co_await exchange.writePiece(beat))
+        if (!co_await exchange.writeChunk(beat))
             break;
         co_await pause(milliseconds(20));
     }
@@ -264,7 +264,7 @@
     bool fits = m_profile.memoryPieces == 0 || usedPieces() + kv.pieces <= m_profile.memoryPieces;
     if (!there || !fits) {
         auto gone = tagged(tag, "expired");
-        if (co_await exchange.writePiece(gone))
+        if (co_await exchange.writeChunk(gone))
             co_await exchange.endStream();
         co_return;
     }
@@ -280,7 +280,7 @@
         progress["tag"] = tag;
         progress["left_us"] = std::chrono::duration_cast<std::chrono::microseconds>(ends - now()).count();
         auto bytes = event(std::move(progress));
-        if (!co_await exchange.writePiece(bytes))
+        if (!co_await exchange.writeChunk(bytes))
             break;
     }
     if (dead(life) || !m_kv.count(id)) {
@@ -289,7 +289,7 @@
     }
     co_await callSource(source, id, "end", answer);
     auto done = tagged(tag, "done");
-    if (co_await exchange.writePiece(done))
+    if (co_await exchange.writeChunk(done))
         co_await exchange.endStream();
 }
 
@@ -328,7 +328,7 @@
         auto bytes = event(std::move(token));
         if (m_duplicateTokens)
             bytes += bytes;
-        open = co_await exchange.writePiece(bytes);
+        open = co_await exchange.writeChunk(bytes);
     }
     if (auto running = m_running.find(tag); running != m_running.end() && --running->second == 0)
         m_running.erase(running);
@@ -344,7 +344,7 @@
     end["reason"] = "stop";
     end["tokens"] = count;
     auto bytes = event(std::move(end));
-    if (co_await exchange.writePiece(bytes))
+    if (co_await exchange.writeChunk(bytes))
         co_await exchange.endStream();
 }
 
@@ -423,7 +423,7 @@
     m_linkBusyUntil = {};
     auto restart = [this]() -> task_of<void> {
         co_await pause(m_profile.restartTime);
-        m_incarnation = freshIncarnation();
+        m_incarnation = generateIncarnation();
         m_sequence = 0;
         m_cancelled.clear();
         m_down = false;
@@ -524,7 +524,7 @@
     while (!m_announceTo.empty()) {
         // One try at each entry in turn, as behind the platform's balancer, until one takes it.
         for (std::size_t i = 0; i < m_announceTo.size() && !m_down && !m_ignoreCalls; ++i) {
-            http_call call;
+            http_request call;
             call.target = "/announce";
             call.headers = { { "Content-Type", jsonType } };
             call.body = json::serialize(announcement());
--- a/Tests/Support/fleet.cpp
+++ b/Tests/Support/fleet.cpp
@@ -237,8 +237,8 @@
 simple_answer fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout) const
 {
     asio::io_context context;
-    http_call given { method, target, headers, body };
-    http_answer answer;
+    http_request given { method, target, headers, body };
+    http_response answer;
     auto run = [&]() -> task_of<void> { answer = co_await http_client::fetch(address, given, milliseconds(1000), timeout); };
     asio::co_spawn(context, run, asio::detached);
     context.run();
