--- a/Source/kernel/clock_source.h
+++ b/Source/kernel/clock_source.h
@@ -8,22 +8,22 @@
 using duration = std::chrono::steady_clock::duration;
 using std::chrono::milliseconds;
 
-/// The time as the process sees it. Passed in, so that a test can drive it.
+/// Interface to a monotonic clock. Injected, so that tests can control time.
 class clock_source {
 public:
     virtual ~clock_source() = default;
-    /// Monotonic time. Thread safety: may be called from any thread.
+    /// Returns the monotonic time. Thread safety: may be called from any thread.
     virtual time_point now() const = 0;
 };
 
-/// The machine's monotonic clock.
+/// Monotonic clock that stops while the VM is suspended.
 class steady_clock_source final : public clock_source {
 public:
     time_point now() const override { return std::chrono::steady_clock::now(); }
 };
 
-/// The time since the VM started, which goes on while the VM is suspended. The machine's steady clock stands still
-/// meanwhile; a lease counted by it would outlive its end by as long as the VM slept.
+/// Time since boot, including time during which the VM is suspended. A lease measured with the steady clock, which
+/// stops during suspension, would be held past its expiry for as long as the suspension lasted.
 class boottime_clock_source final : public clock_source {
 public:
     time_point now() const override
@@ -34,7 +34,7 @@
     }
 };
 
-/// A clock that stands still until it is told to move. Not thread-safe: for tests on one thread.
+/// Clock that only moves when advanced. Not thread-safe: for single-threaded tests.
 class manual_clock_source final : public clock_source {
 public:
     time_point now() const override { return m_now; }
@@ -45,7 +45,8 @@
     time_point m_now { std::chrono::hours(1) };
 };
 
-/// Wall-clock time since the Unix epoch, for people and for what must outlive a process. Never for leases or timeouts.
+/// Returns the wall-clock time since the Unix epoch, for display and for timestamps that outlive the process. Not for
+/// leases or timeouts: the wall clock can jump.
 inline milliseconds wallClock()
 {
     return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
--- a/Source/kernel/kernel.h
+++ b/Source/kernel/kernel.h
@@ -1,6 +1,6 @@
 #pragma once
-/// The micro-kernel: time, outcomes, reasons, logs, settings, metrics and the registry of named services.
-/// This is the library's one public header.
+/// Foundation library: clocks, results, reason codes, logging, settings, metrics and the service registry.
+/// This is the library's only public header.
 #include "kernel/clock_source.h"
 #include "kernel/log_event.h"
 #include "kernel/log_sink.h"
--- a/Source/kernel/log_event.cpp
+++ b/Source/kernel/log_event.cpp
@@ -29,7 +29,7 @@
         for (unsigned char c : value) {
             if (c == '"' || c == '\\')
                 line.push_back('\\');
-            // A caller must not be able to forge a second log line.
+            // Escapes line breaks, so that a client can't inject log lines.
             if (c < ' ')
                 fmt::format_to(std::back_inserter(line), "\\x{:02x}", c);
             else
--- a/Source/kernel/log_event.h
+++ b/Source/kernel/log_event.h
@@ -6,7 +6,7 @@
 
 namespace pistachiolatch {
 
-/// One key=value pair of a log line.
+/// Key and value of one field in a log line.
 struct log_field {
     std::string_view key;
     std::string value;
@@ -25,15 +25,15 @@
     }
 };
 
-/// Formats one line of key=value pairs; a value with a space, quote or control character is quoted and escaped.
-/// Thread safety: any thread.
+/// Formats an event as key=value pairs without a line break. Values that are empty or contain spaces, quotes, equals
+/// signs, backslashes or control characters are quoted and escaped. Thread safety: any thread.
 std::string formatEvent(std::string_view event, std::initializer_list<log_field> fields);
 
-/// Writes one event to standard output with a wall-clock time in front; never waits for its reader (log_sink).
-/// Thread safety: any thread; lines never mix.
+/// Writes an event with a UTC timestamp to standard output. Never blocks; see log_sink.
+/// Thread safety: any thread; lines are not interleaved.
 void logEvent(std::string_view event, std::initializer_list<log_field> fields);
 
-/// Names the process in each further log line. Precondition: called before any other thread starts.
+/// Sets the program and VM names that prefix every later log line. Precondition: called before any other thread starts.
 void setLogProcess(std::string_view program, std::string_view vm);
 
 } // namespace pistachiolatch
--- a/Source/kernel/log_sink.cpp
+++ b/Source/kernel/log_sink.cpp
@@ -10,24 +10,24 @@
 namespace pistachiolatch {
 
 namespace {
-    /// A write of no more than this into a pipe that poll() calls writable does not block (PIPE_BUF on Linux).
-    constexpr std::size_t writeBlock = 4096;
+    /// PIPE_BUF on Linux: a write of at most this size does not block on a pipe that poll() reports as writable.
+    constexpr std::size_t maxNonBlockingWrite = 4096;
 }
 
 void log_sink::write(const std::string& line)
 {
     std::lock_guard lock(m_mutex);
-    if (m_waiting.size() + line.size() > mostWaitingBytes) {
+    if (m_buffer.size() + line.size() > maxBufferedBytes) {
         flushLocked();
-        if (m_waiting.size() + line.size() > mostWaitingBytes) {
+        if (m_buffer.size() + line.size() > maxBufferedBytes) {
             ++m_dropped;
-            ++m_droppedUntold;
+            ++m_unreportedDrops;
             return;
         }
     }
-    if (m_droppedUntold > 0)
-        m_waiting += fmt::format("event=log_dropped lines={}\n", std::exchange(m_droppedUntold, 0));
-    m_waiting += line;
+    if (m_unreportedDrops > 0)
+        m_buffer += fmt::format("event=log_dropped lines={}\n", std::exchange(m_unreportedDrops, 0));
+    m_buffer += line;
     flushLocked();
 }
 
@@ -46,19 +46,19 @@
 void log_sink::flushLocked()
 {
     std::size_t done = 0;
-    while (done < m_waiting.size()) {
+    while (done < m_buffer.size()) {
         pollfd item { m_descriptor, POLLOUT, 0 };
         if (::poll(&item, 1, 0) <= 0 || (item.revents & POLLOUT) == 0)
             break;
-        auto written = ::write(m_descriptor, m_waiting.data() + done, std::min(writeBlock, m_waiting.size() - done));
+        auto written = ::write(m_descriptor, m_buffer.data() + done, std::min(maxNonBlockingWrite, m_buffer.size() - done));
         if (written < 0 && errno == EINTR)
             continue;
-        // The reader is gone; there is nobody left to tell.
+        // The reader has closed its end.
         if (written <= 0)
             break;
         done += static_cast<std::size_t>(written);
     }
-    m_waiting.erase(0, done);
+    m_buffer.erase(0, done);
 }
 
 } // namespace pistachiolatch
--- a/Source/kernel/log_sink.h
+++ b/Source/kernel/log_sink.h
@@ -6,24 +6,25 @@
 
 namespace pistachiolatch {
 
-/// Writes log lines to a descriptor without ever waiting for its reader. Failure without it: whoever collects the logs
-/// stops reading, the pipe fills, and the thread that serves callers stands still in a write. Lines wait in a bounded
-/// buffer; what does not fit is dropped and counted, and the count is told once there is room again.
+/// Writes log lines to a file descriptor without blocking. With blocking writes, a log collector that stops reading
+/// would fill the pipe and block the threads that serve requests. Lines are kept in a bounded buffer; lines that don't
+/// fit are dropped, and a log_dropped event reports their number once there is space again.
 /// Thread safety: every method may be called from any thread.
 class log_sink {
 public:
-    /// About a thousand lines: some seconds of a busy process, and a small part of a small VM's memory.
-    static constexpr std::size_t mostWaitingBytes = 256UL * 1024;
+    /// About a thousand lines: some seconds of output of a busy process, and a small part of a small VM's memory.
+    static constexpr std::size_t maxBufferedBytes = 256UL * 1024;
 
     explicit log_sink(int descriptor)
         : m_descriptor(descriptor)
     {
     }
 
-    /// Queues a line, which ends with a line break, and writes what the reader takes now.
+    /// Appends a line and writes as much of the buffer as possible. Precondition: the line ends with a line break.
     void write(const std::string& line);
-    /// Writes what the reader takes now.
+    /// Writes as much of the buffer as possible without blocking.
     void flush();
+    /// Returns the total number of dropped lines.
     std::uint64_t dropped() const;
 
 private:
@@ -31,9 +32,9 @@
 
     int m_descriptor;
     mutable std::mutex m_mutex;
-    std::string m_waiting;
+    std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_droppedUntold = 0;
+    std::uint64_t m_unreportedDrops = 0;
 };
 
 } // namespace pistachiolatch
--- a/Source/kernel/metrics.cpp
+++ b/Source/kernel/metrics.cpp
@@ -26,14 +26,14 @@
 
 metrics::~metrics() = default;
 
-void metrics::countRefusal(reason why)
+void metrics::countRefusal(reason cause)
 {
-    m_impl->refusals.Add({ { "reason", std::string(reasonName(why)) } }).Increment();
+    m_impl->refusals.Add({ { "reason", std::string(reasonName(cause)) } }).Increment();
 }
 
-void metrics::countRetry(reason why)
+void metrics::countRetry(reason cause)
 {
-    m_impl->retries.Add({ { "reason", std::string(reasonName(why)) } }).Increment();
+    m_impl->retries.Add({ { "reason", std::string(reasonName(cause)) } }).Increment();
 }
 
 void metrics::count(const std::string& event, double amount)
--- a/Source/kernel/metrics.h
+++ b/Source/kernel/metrics.h
@@ -6,7 +6,7 @@
 
 namespace pistachiolatch {
 
-/// The process's counters, gauges and histograms, behind prometheus-cpp.
+/// Counters, gauges and histograms of the process, implemented with prometheus-cpp.
 /// Thread safety: every method may be called from any thread.
 class metrics {
 public:
@@ -15,17 +15,16 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    /// Counts one refusal given to a caller.
-    void countRefusal(reason why);
-    /// Counts one further attempt for a request.
-    void countRetry(reason why);
-    /// Counts one event with a fixed name, such as "wire_frame_dropped".
+    /// Counts a request that was refused.
+    void countRefusal(reason cause);
+    /// Counts a retry of a request.
+    void countRetry(reason cause);
+    /// Counts an event with a fixed name, such as "wire_frame_dropped".
     void count(const std::string& event, double amount = 1);
-    /// Sets a gauge.
     void gauge(const std::string& name, double value);
-    /// Observes a latency; the name ends in "_seconds".
+    /// Records a latency. Precondition: the name ends in "_seconds".
     void observe(const std::string& name, std::chrono::nanoseconds value);
-    /// Everything in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/Source/kernel/process_identity.cpp
+++ b/Source/kernel/process_identity.cpp
@@ -7,7 +7,7 @@
 
 std::uint64_t generateIncarnation()
 {
-    // Wall-clock milliseconds order the runs of one VM; random low bits tell two runs of one millisecond apart.
+    // Wall-clock milliseconds order the incarnations of a VM; random low bits distinguish two within one millisecond.
     constexpr unsigned randomBits = 20;
     auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
--- a/Source/kernel/process_identity.h
+++ b/Source/kernel/process_identity.h
@@ -4,15 +4,15 @@
 
 namespace pistachiolatch {
 
-/// Who a process is. Two runs on one VM share the name and differ in the incarnation, so that
-/// a late message of the earlier run can be told from one of the later run.
+/// Identity of a process. A restarted process keeps its name and gets a new incarnation, so that delayed messages
+/// from before the restart can be recognised.
 struct process_identity {
     std::string name;
     std::string dataCentre;
     std::uint64_t incarnation = 0;
 };
 
-/// A fresh incarnation; never zero. Thread safety: any thread.
+/// Generates a unique, non-zero incarnation. Thread safety: any thread.
 std::uint64_t generateIncarnation();
 
 } // namespace pistachiolatch
--- a/Source/kernel/reason.cpp
+++ b/Source/kernel/reason.cpp
@@ -55,7 +55,7 @@
         reason_row { reason::Internal, "internal", 500, "A fault of the router; report the request id." },
     };
 
-    const reason_row& rowOf(reason value)
+    const reason_row& findRow(reason value)
     {
         for (const auto& row : rows) {
             if (row.value == value)
@@ -67,7 +67,7 @@
 
 std::string_view reasonName(reason value)
 {
-    return rowOf(value).name;
+    return findRow(value).name;
 }
 
 std::optional<reason> reasonFromName(std::string_view name)
@@ -81,12 +81,12 @@
 
 unsigned httpStatus(reason value)
 {
-    return rowOf(value).status;
+    return findRow(value).status;
 }
 
 std::string_view reasonAdvice(reason value)
 {
-    return rowOf(value).advice;
+    return findRow(value).advice;
 }
 
 std::string_view runStateName(run_state value)
--- a/Source/kernel/reason.h
+++ b/Source/kernel/reason.h
@@ -4,8 +4,8 @@
 
 namespace pistachiolatch {
 
-/// Every reason for which a caller can be refused or an attempt repeated: the closed list that
-/// errors, counters and the operators' page share.
+/// Reasons for refusing a request or retrying an attempt. Error responses, metrics and the operations manual all use
+/// this list.
 enum class reason {
     BadRequest,
     BodyTooLarge,
@@ -49,21 +49,21 @@
     Internal,
 };
 
-/// What a refusal tells of the request's effect on endpoints.
+/// Whether a refused request may have been executed by an endpoint.
 enum class run_state {
     NotRun,
     MayHaveRun,
 };
 
-/// The reason's name as callers and counters see it. Thread safety: any thread.
+/// Returns the name used in error responses and metrics. Thread safety: any thread.
 std::string_view reasonName(reason value);
-/// The reason with that name, if there is one. Thread safety: any thread.
+/// Returns the reason with the given name, if there is one. Thread safety: any thread.
 std::optional<reason> reasonFromName(std::string_view name);
-/// The HTTP status that goes with a reason. Thread safety: any thread.
+/// Returns the HTTP status for a reason. Thread safety: any thread.
 unsigned httpStatus(reason value);
-/// A sentence for the caller that says what to do. Thread safety: any thread.
+/// Returns a sentence that tells the caller what to do. Thread safety: any thread.
 std::string_view reasonAdvice(reason value);
-/// The state's name in an error body. Thread safety: any thread.
+/// Returns the name used in error responses. Thread safety: any thread.
 std::string_view runStateName(run_state value);
 
 } // namespace pistachiolatch
--- a/Source/kernel/result.h
+++ b/Source/kernel/result.h
@@ -7,16 +7,16 @@
 
 namespace pistachiolatch {
 
-/// Why an operation did not succeed, in words for an operator.
+/// Error with a message for the operator.
 struct failure {
     std::string message;
 };
 
-/// An outcome as a value. Reading the value of a failed result is a broken invariant and ends the process.
+/// Value or error of an operation. Accessing the value of a failed result terminates the process.
 template <typename T>
 using result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<T, failure, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
-/// The value of a result<void> that succeeded.
+/// Returns a successful result<void>.
 inline auto ok()
 {
     return BOOST_OUTCOME_V2_NAMESPACE::success();
--- a/Source/kernel/service_registry.cpp
+++ b/Source/kernel/service_registry.cpp
@@ -6,7 +6,7 @@
 
 namespace pistachiolatch {
 
-void* service_registry::findRaw(const std::string& name, std::type_index type) const
+void* service_registry::findInstance(const std::string& name, std::type_index type) const
 {
     auto found = m_services.find(name);
     if (found == m_services.end() || found->second.type != type) {
@@ -20,7 +20,7 @@
 {
     for (const auto& [name, unused] : m_services) {
         std::vector<std::string> path;
-        auto started = startOne(name, path);
+        auto started = startService(name, path);
         if (!started) {
             stopAll();
             return started;
@@ -29,19 +29,19 @@
     return ok();
 }
 
-result<void> service_registry::startOne(const std::string& name, std::vector<std::string>& path)
+result<void> service_registry::startService(const std::string& name, std::vector<std::string>& path)
 {
     if (std::find(m_started.begin(), m_started.end(), name) != m_started.end())
         return ok();
     if (std::find(path.begin(), path.end(), name) != path.end())
-        return failure { fmt::format("service {} uses itself through others", name) };
+        return failure { fmt::format("dependency cycle at service {}", name) };
     auto found = m_services.find(name);
     if (found == m_services.end())
-        return failure { fmt::format("service {} is used but was never added", name) };
+        return failure { fmt::format("service {} is a dependency but is not registered", name) };
 
     path.push_back(name);
-    for (const auto& used : found->second.hooks.uses) {
-        BOOST_OUTCOME_TRYV(startOne(used, path));
+    for (const auto& dependency : found->second.hooks.dependencies) {
+        BOOST_OUTCOME_TRYV(startService(dependency, path));
     }
     path.pop_back();
 
--- a/Source/kernel/service_registry.h
+++ b/Source/kernel/service_registry.h
@@ -9,37 +9,36 @@
 
 namespace pistachiolatch {
 
-/// What the kernel needs of a service: a start, a stop, and the names of the services it uses.
+/// Dependencies of a service by name, and its start and stop functions, each of which may be empty.
 struct service_hooks {
-    std::vector<std::string> uses;
+    std::vector<std::string> dependencies;
     std::function<result<void>()> start;
     std::function<void()> stop;
 };
 
-/// The micro-kernel's registry: starts services after those they use, stops them in reverse,
-/// and lets one service find another by name and interface.
-/// Thread safety: everything is called from the thread that starts the process.
+/// Starts services in dependency order, stops them in reverse order, and looks them up by name and type.
+/// Thread safety: used only by the thread that starts the process.
 class service_registry {
 public:
-    /// Adds a service. Precondition: no service has that name and startAll() was not called.
+    /// Registers a service. Precondition: the name is not in use and startAll() has not been called.
     template <typename T>
     void add(const std::string& name, T& instance, service_hooks hooks)
     {
         m_services.emplace(name, entry { &instance, typeid(T), std::move(hooks) });
     }
 
-    /// The service with that name. A wrong name or type is a broken invariant and ends the process.
+    /// Returns the service with the given name. An unknown name or a wrong type aborts the process.
     template <typename T>
     T& find(const std::string& name) const
     {
-        return *static_cast<T*>(findRaw(name, typeid(T)));
+        return *static_cast<T*>(findInstance(name, typeid(T)));
     }
 
-    /// Starts every service in dependency order. At a failure the started ones are stopped again.
-    /// Errors: the message of the service that failed, an unknown dependency or a cycle.
+    /// Starts all services in dependency order. If one fails, stops those already started.
+    /// Errors: the error of the service that failed, an unknown dependency or a dependency cycle.
     result<void> startAll();
 
-    /// Stops what was started, in reverse order. Calling it again does nothing.
+    /// Stops all started services in reverse order. Idempotent.
     void stopAll();
 
 private:
@@ -49,8 +48,8 @@
         service_hooks hooks;
     };
 
-    void* findRaw(const std::string& name, std::type_index type) const;
-    result<void> startOne(const std::string& name, std::vector<std::string>& path);
+    void* findInstance(const std::string& name, std::type_index type) const;
+    result<void> startService(const std::string& name, std::vector<std::string>& path);
 
     std::map<std::string, entry> m_services;
     std::vector<std::string> m_started;
--- a/Source/kernel/sha256.cpp
+++ b/Source/kernel/sha256.cpp
@@ -36,7 +36,7 @@
 std::string randomHex(std::size_t bytes)
 {
     std::vector<unsigned char> data(bytes);
-    // A predictable key or incarnation would break identity everywhere, so there is no way on without randomness.
+    // Predictable keys or incarnations would compromise every identity, so the process must not continue.
     if (RAND_bytes(data.data(), static_cast<int>(bytes)) != 1)
         std::abort();
     return toHex(data.data(), data.size());
--- a/Source/kernel/text_file.h
+++ b/Source/kernel/text_file.h
@@ -4,8 +4,8 @@
 
 namespace pistachiolatch {
 
-/// Reads a text file whole. Errors: it can't be read, or it holds bytes that no text file has (control characters,
-/// broken UTF-8), with the line; parsers behind this need not cope with them.
+/// Reads a whole text file. Errors: the file can't be read, or contains control characters or invalid UTF-8, so that
+/// parsers need not handle these. The message includes the line.
 result<std::string> readTextFile(const std::string& path);
 
 } // namespace pistachiolatch
--- a/Source/kernel/toml_parser.h
+++ b/Source/kernel/toml_parser.h
@@ -1,13 +1,13 @@
 #pragma once
-// Not part of the public header: only files that read TOML include this, since the library is large.
+// Not included by kernel.h because toml++ is a large header; include it only where TOML is parsed.
 #include "kernel/text_file.h"
 #include <fmt/format.h>
 #include <stdexcept>
 
 namespace pistachiolatch {
 
-/// Stands in for the TOML library's assertions, some of which malformed keys reach: a bad file must end in an error
-/// message and not in an abort.
+/// Replaces the assertions of toml++, some of which fail on malformed keys: an invalid file must be reported as an error
+/// and not abort the process.
 constexpr void requireWellFormed(bool condition)
 {
     if (!condition)
@@ -21,7 +21,7 @@
 
 namespace pistachiolatch {
 
-/// Parses a TOML file. Errors: file, line and what is wrong. Thread safety: any thread.
+/// Parses a TOML file. Errors: the file can't be read, or a syntax error with file and line. Thread safety: any thread.
 inline result<toml::table> parseTomlFile(const std::string& path)
 {
     BOOST_OUTCOME_TRY(auto content, readTextFile(path));
--- a/Tests/Kernel/LogSinkTest.cpp
+++ b/Tests/Kernel/LogSinkTest.cpp
@@ -6,9 +6,8 @@
 
 using namespace pistachiolatch;
 
-// Callers see: an entry answers nobody though its VM is well.
-// Order: whoever collects the logs stops reading; the pipe fills; the next log line waits in its write for ever.
-// Why: the sink writes only what the pipe takes now, keeps a bounded rest and counts what it drops.
+// Guards against an entry that stops answering because a log write blocks: the log collector stops reading, and the pipe
+// fills. The sink must write without blocking, buffer a bounded amount and count the lines it drops.
 TEST_CASE("A log reader that stops reading does not stop the process")
 {
     std::array<int, 2> ends {};
