--- a/Source/http/admin_server.cpp
+++ b/Source/http/admin_server.cpp
@@ -5,9 +5,9 @@
 namespace {
     constexpr const char* plainText = "text/plain; charset=utf-8";
 
-    http_error_response plainRefusal(reason why)
+    http_error_response plainErrorResponse(reason cause)
     {
-        return { httpStatus(why), plainText, std::string(reasonAdvice(why)) + "\n", {} };
+        return { httpStatus(cause), plainText, std::string(reasonAdvice(cause)) + "\n", {} };
     }
 }
 
@@ -15,7 +15,7 @@
     : m_metrics(counters)
     , m_hooks(std::move(hooks))
     , m_server(
-          threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, plainRefusal)
+          threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, plainErrorResponse)
 {
 }
 
@@ -25,15 +25,15 @@
     if (exchange.method() != "GET") {
         co_await exchange.respond(405, plainText, "Use GET.\n");
     } else if (path == "/metrics") {
-        if (m_hooks.refresh)
-            m_hooks.refresh();
+        if (m_hooks.refreshGauges)
+            m_hooks.refreshGauges();
         co_await exchange.respond(200, "text/plain; version=0.0.4", m_metrics.text());
     } else if (path == "/healthz") {
         co_await exchange.respond(200, plainText, "ok\n");
     } else if (path == "/readyz") {
-        auto why = m_hooks.notReadyBecause();
-        unsigned status = why.empty() ? 200 : 503;
-        std::string body = why.empty() ? "ready\n" : why + "\n";
+        auto problem = m_hooks.notReadyReason();
+        unsigned status = problem.empty() ? 200 : 503;
+        std::string body = problem.empty() ? "ready\n" : problem + "\n";
         co_await exchange.respond(status, plainText, body);
     } else {
         co_await exchange.respond(404, plainText, "Use /metrics, /healthz or /readyz.\n");
--- a/Source/http/admin_server.h
+++ b/Source/http/admin_server.h
@@ -4,19 +4,19 @@
 
 namespace pistachiolatch {
 
-/// What the admin port tells of its process.
+/// Functions that supply the state reported by the admin server.
 struct admin_hooks {
-    /// Whether the process wants traffic now, and if not why.
-    std::function<std::string()> notReadyBecause;
-    /// Called before /metrics is rendered, to refresh gauges. May be empty.
-    std::function<void()> refresh;
+    /// Returns why the process is not ready to receive traffic, or an empty string if it is ready.
+    std::function<std::string()> notReadyReason;
+    /// Updates gauges before /metrics is rendered. May be empty.
+    std::function<void()> refreshGauges;
 };
 
-/// The admin port: /metrics, /healthz and /readyz.
+/// Serves /metrics, /healthz and /readyz.
 class admin_server {
 public:
     admin_server(traffic_threads& threads, metrics& counters, admin_hooks hooks);
-    /// Errors: address in use, in words.
+    /// Errors: the address can't be bound.
     result<void> listen(const std::string& address) { return m_server.listen(address); }
     std::uint16_t port() const { return m_server.port(); }
     void stopAccepting() { m_server.stopAccepting(); }
--- a/Source/http/http.h
+++ b/Source/http/http.h
@@ -1,6 +1,6 @@
 #pragma once
-/// HTTP/1.1 towards callers, endpoints and operators, on Boost.Beast.
-/// This is the library's one public header.
+/// HTTP/1.1 client and server based on Boost.Beast.
+/// This is the library's only public header.
 #include "http/admin_server.h"
 #include "http/http_client.h"
 #include "http/http_exchange.h"
--- a/Source/http/http_client.cpp
+++ b/Source/http/http_client.cpp
@@ -13,15 +13,15 @@
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr unsigned httpVersion11 = 11;
-    constexpr std::uint64_t largestAnswer = 256ULL * 1024 * 1024;
+    constexpr std::uint64_t maxResponseBytes = 256ULL * 1024 * 1024;
 
-    call_failure failureOf(const beast::error_code& error)
+    call_failure toCallFailure(const beast::error_code& error)
     {
         return error == beast::error::timeout ? call_failure::Stalled : call_failure::Broken;
     }
 }
 
-task_of<call_failure> http_client::send(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds sendTimeout)
+task_of<call_failure> http_client::send(const std::string& address, const http_request& request, milliseconds connectTimeout, milliseconds sendTimeout)
 {
     if (!isAddress(address))
         co_return call_failure::NotSent;
@@ -33,30 +33,30 @@
     beast::error_code ignored;
     m_stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
 
-    http::request<http::string_body> request;
-    request.method_string(call.method);
-    request.target(call.target);
-    request.version(httpVersion11);
-    request.set(http::field::host, address);
-    for (const auto& [name, value] : call.headers)
-        request.set(name, value);
-    request.keep_alive(false);
-    request.body() = call.body;
-    request.prepare_payload();
+    http::request<http::string_body> message;
+    message.method_string(request.method);
+    message.target(request.target);
+    message.version(httpVersion11);
+    message.set(http::field::host, address);
+    for (const auto& [name, value] : request.headers)
+        message.set(name, value);
+    message.keep_alive(false);
+    message.body() = request.body;
+    message.prepare_payload();
     m_stream.expires_after(sendTimeout);
-    auto [writeError, bytes] = co_await http::async_write(m_stream, request, asTuple);
+    auto [writeError, bytes] = co_await http::async_write(m_stream, message, asTuple);
     if (writeError)
-        co_return bytes == 0 ? call_failure::NotSent : failureOf(writeError);
+        co_return bytes == 0 ? call_failure::NotSent : toCallFailure(writeError);
     co_return call_failure::None;
 }
 
 task_of<call_failure> http_client::readHead(milliseconds timeout)
 {
     m_parser.emplace();
-    m_parser->body_limit(largestAnswer);
+    m_parser->body_limit(maxResponseBytes);
     m_stream.expires_after(timeout);
     auto [error, bytes] = co_await http::async_read_header(m_stream, m_buffer, *m_parser, asTuple);
-    co_return error ? failureOf(error) : call_failure::None;
+    co_return error ? toCallFailure(error) : call_failure::None;
 }
 
 std::string http_client::header(std::string_view name) const
@@ -78,7 +78,7 @@
 {
     piece.clear();
     while (true) {
-        // Reading the head may already have brought part of the body.
+        // readHead() may have read part of the body already.
         auto& body = m_parser->get().body();
         if (!body.empty()) {
             piece = std::exchange(body, {});
@@ -89,29 +89,29 @@
         m_stream.expires_after(timeout);
         auto [error, bytes] = co_await http::async_read_some(m_stream, m_buffer, *m_parser, asTuple);
         if (error)
-            co_return failureOf(error);
+            co_return toCallFailure(error);
     }
 }
 
-task_of<http_response> http_client::fetch(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds timeout)
+task_of<http_response> http_client::fetch(const std::string& address, const http_request& request, milliseconds connectTimeout, milliseconds timeout)
 {
-    http_response answer;
+    http_response response;
     http_client client(co_await asio::this_coro::executor);
-    answer.failed = co_await client.send(address, call, connectTimeout, timeout);
-    if (answer.failed != call_failure::None)
-        co_return answer;
-    answer.failed = co_await client.readHead(timeout);
-    if (answer.failed != call_failure::None)
-        co_return answer;
-    answer.status = client.status();
-    answer.contentType = client.header("Content-Type");
-    answer.headers = client.headers();
+    response.failed = co_await client.send(address, request, connectTimeout, timeout);
+    if (response.failed != call_failure::None)
+        co_return response;
+    response.failed = co_await client.readHead(timeout);
+    if (response.failed != call_failure::None)
+        co_return response;
+    response.status = client.status();
+    response.contentType = client.header("Content-Type");
+    response.headers = client.headers();
     std::string piece;
     while (true) {
-        answer.failed = co_await client.readPiece(piece, timeout);
-        if (answer.failed != call_failure::None || piece.empty())
-            co_return answer;
-        answer.body += piece;
+        response.failed = co_await client.readPiece(piece, timeout);
+        if (response.failed != call_failure::None || piece.empty())
+            co_return response;
+        response.body += piece;
     }
 }
 
--- a/Source/http/http_client.h
+++ b/Source/http/http_client.h
@@ -5,14 +5,14 @@
 
 namespace pistachiolatch {
 
-/// How far a call came before it failed. Only NotSent proves that the other side did nothing.
+/// Stage at which an HTTP request failed. Only NotSent guarantees that the server did not process the request.
 enum class call_failure {
     None,
-    /// Not one byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The connection ended or broke before the whole answer.
+    /// The connection closed or failed before the response was complete.
     Broken,
-    /// Nothing came within the time allowed.
+    /// The peer made no progress before the timeout.
     Stalled,
 };
 
@@ -33,9 +33,9 @@
     bool succeeded() const { return failed == call_failure::None && status >= 200 && status < 300; }
 };
 
-/// One call to an address over a connection of its own. A connection of its own keeps NotSent true: a connection
-/// kept from an earlier call may be closed by the other side just as the request leaves.
-/// Used on one thread.
+/// HTTP client for a single request over its own connection. Connections are not reused, because a server may close an
+/// idle connection just as a request is sent, and NotSent could then not be guaranteed.
+/// Not thread-safe.
 class http_client {
 public:
     explicit http_client(const boost::asio::any_io_executor& executor)
@@ -43,20 +43,20 @@
     {
     }
 
-    /// Connects and sends the request. Returns None on success.
-    task_of<call_failure> send(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds sendTimeout);
-    /// Reads status and headers.
+    /// Connects and sends the request.
+    task_of<call_failure> send(const std::string& address, const http_request& request, milliseconds connectTimeout, milliseconds sendTimeout);
+    /// Reads the status line and headers.
     task_of<call_failure> readHead(milliseconds timeout);
     unsigned status() const { return m_parser->get().result_int(); }
     std::string header(std::string_view name) const;
     http_headers headers() const;
-    /// Reads the next bytes of the body; empty at its end. Precondition: readHead() succeeded.
+    /// Reads the next part of the body; empty at the end. Precondition: readHead() succeeded.
     task_of<call_failure> readPiece(std::string& piece, milliseconds timeout);
-    /// Whether the whole answer was read.
+    /// Whether the response was read completely.
     bool isComplete() const { return m_parser && m_parser->is_done(); }
 
-    /// Makes a whole call.
-    static task_of<http_response> fetch(const std::string& address, const http_request& call, milliseconds connectTimeout, milliseconds timeout);
+    /// Sends a request and reads the whole response.
+    static task_of<http_response> fetch(const std::string& address, const http_request& request, milliseconds connectTimeout, milliseconds timeout);
 
 private:
     boost::beast::tcp_stream m_stream;
--- a/Source/http/http_exchange.cpp
+++ b/Source/http/http_exchange.cpp
@@ -12,10 +12,10 @@
 
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    constexpr milliseconds closeCheckInterval { 200 };
+    constexpr milliseconds disconnectCheckInterval { 200 };
     constexpr unsigned httpVersion11 = 11;
 
-    bool peerClosed(int descriptor)
+    bool isPeerClosed(int descriptor)
     {
         pollfd item { descriptor, POLLRDHUP, 0 };
         return ::poll(&item, 1, 0) > 0 && (item.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
@@ -82,9 +82,9 @@
     co_return !error;
 }
 
-task_of<bool> http_exchange::writeChunk(const std::string& piece)
+task_of<bool> http_exchange::writeChunk(const std::string& chunk)
 {
-    auto framed = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
+    auto framed = fmt::format("{:x}\r\n{}\r\n", chunk.size(), chunk);
     co_return co_await write(framed);
 }
 
@@ -106,9 +106,9 @@
     auto& socket = m_stream.socket();
     auto [error] = co_await socket.async_wait(asio::socket_base::wait_read, asTuple);
     asio::steady_timer timer(co_await asio::this_coro::executor);
-    // A caller that already sent its next request keeps the socket readable, so closing shows only to a look now and then.
-    while (!error && !peerClosed(socket.native_handle())) {
-        timer.expires_after(closeCheckInterval);
+    // A pipelined request keeps the socket readable, so a disconnect can only be detected by polling.
+    while (!error && !isPeerClosed(socket.native_handle())) {
+        timer.expires_after(disconnectCheckInterval);
         co_await timer.async_wait(asTuple);
     }
 }
--- a/Source/http/http_exchange.h
+++ b/Source/http/http_exchange.h
@@ -15,7 +15,7 @@
 template <typename T>
 using task_of = boost::asio::awaitable<T>;
 
-/// One request and its answer, of which there is at most one. Used on the connection's thread only.
+/// A request and its response. At most one response is sent. Used only on the connection's thread.
 class http_exchange {
 public:
     using request = boost::beast::http::request<boost::beast::http::string_body>;
@@ -29,27 +29,27 @@
 
     const request& message() const { return m_request; }
     std::string_view method() const { return { m_request.method_string().data(), m_request.method_string().size() }; }
-    /// The path without its query.
+    /// The target without its query string.
     std::string path() const;
-    /// A header's value, empty when it is missing.
+    /// Returns the value of a header, or an empty string if it is missing.
     std::string header(std::string_view name) const;
-    /// Whether an answer was begun. A second one is not sent.
+    /// Whether a response was started; further responses are ignored.
     bool responseStarted() const { return m_responseStarted; }
-    /// Whether the connection can carry another request.
+    /// Whether the connection stays open for another request.
     bool keepAlive() const { return m_keepAlive; }
-    /// Closes the connection after this answer.
-    void closeAfter() { m_keepAlive = false; }
+    /// Closes the connection after this response.
+    void closeAfterResponse() { m_keepAlive = false; }
 
-    /// Sends a whole answer. Returns false if the caller is gone.
+    /// Sends a whole response. Returns false if it could not be sent.
     task_of<bool> respond(unsigned status, const std::string& contentType, std::string body, const http_headers& headers = {});
-    /// Begins an answer in pieces. Each write waits until the caller's connection takes it, so a slow caller holds
-    /// back its source and memory does not grow.
+    /// Starts a chunked response. Each write waits until the caller's connection accepts it: backpressure keeps memory
+    /// bounded when the caller reads slowly.
     task_of<bool> beginStream(unsigned status, const std::string& contentType, const http_headers& headers = {});
-    task_of<bool> writeChunk(const std::string& piece);
+    task_of<bool> writeChunk(const std::string& chunk);
     task_of<bool> endStream();
-    /// Ends the connection without the end mark, so that the caller can't take a cut answer for a whole one.
+    /// Closes the connection without the last chunk, so that the caller can detect the truncated response.
     void abortStream();
-    /// Completes when the caller has closed the connection.
+    /// Completes when the caller closes the connection.
     task_of<void> waitForDisconnect();
 
 private:
--- a/Source/http/http_server.cpp
+++ b/Source/http/http_server.cpp
@@ -13,7 +13,7 @@
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-    reason reasonOfReadError(const beast::error_code& error)
+    reason toReason(const beast::error_code& error)
     {
         if (error == http::error::header_limit)
             return reason::HeaderTooLarge;
@@ -24,42 +24,43 @@
         return reason::BadRequest;
     }
 
-    /// Whether a read failed for a fault of the message, so that an answer makes sense.
-    bool deservesAnswer(const beast::error_code& error, bool begun)
+    /// Whether a read error was caused by the request itself and should be reported to the caller.
+    bool shouldRespond(const beast::error_code& error, bool started)
     {
         if (error == http::error::end_of_stream || error == http::error::partial_message)
             return false;
         if (error == beast::error::timeout)
-            return begun;
+            return started;
         return error.category() == make_error_code(http::error::bad_method).category();
     }
 
-    task_of<void> sendRefusal(beast::tcp_stream& stream, const http_error_response& refusal, milliseconds timeout)
+    task_of<void> sendErrorResponse(beast::tcp_stream& stream, const http_error_response& error, milliseconds timeout)
     {
         http_exchange exchange(stream, {}, timeout);
-        exchange.closeAfter();
-        co_await exchange.respond(refusal.status, refusal.contentType, refusal.body, refusal.headers);
+        exchange.closeAfterResponse();
+        co_await exchange.respond(error.status, error.contentType, error.body, error.headers);
     }
 
-    /// Lets a caller that still sends read the refusal: closing at once would reset the connection under it.
-    task_of<void> drain(beast::tcp_stream& stream)
+    /// Discards the rest of a request. Closing the connection while the caller still sends would reset it before the
+    /// caller has read the error response.
+    task_of<void> discardInput(beast::tcp_stream& stream)
     {
         beast::error_code ignored;
         stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
         constexpr std::size_t blockSize = 64UL * 1024;
-        constexpr int mostBlocks = 1024;
-        constexpr milliseconds patience { 2000 };
+        constexpr int maxBlocks = 1024;
+        constexpr milliseconds timeout { 2000 };
         std::vector<char> block(blockSize);
-        for (int i = 0; i < mostBlocks; ++i) {
-            stream.expires_after(patience);
+        for (int i = 0; i < maxBlocks; ++i) {
+            stream.expires_after(timeout);
             auto [error, bytes] = co_await stream.async_read_some(asio::buffer(block), asTuple);
             if (error)
                 co_return;
         }
     }
 
-    /// Waits for the first byte of the next request. False when the connection should end instead: idle too long,
-    /// closed, or the server drains and nothing is on its way.
+    /// Waits for the first byte of the next request. Returns false if the connection should be closed instead: it was
+    /// idle too long, the caller closed it, or the server is draining and no request has arrived.
     task_of<bool> waitForRequest(beast::tcp_stream& stream, milliseconds idleTimeout, const std::atomic<bool>& draining)
     {
         using namespace asio::experimental::awaitable_operators;
@@ -76,16 +77,16 @@
         co_return false;
     }
 
-    struct counted {
+    struct scoped_count {
         std::atomic<unsigned>& counter;
-        explicit counted(std::atomic<unsigned>& c)
+        explicit scoped_count(std::atomic<unsigned>& c)
             : counter(c)
         {
             ++counter;
         }
-        ~counted() { --counter; }
-        counted(const counted&) = delete;
-        counted& operator=(const counted&) = delete;
+        ~scoped_count() { --counter; }
+        scoped_count(const scoped_count&) = delete;
+        scoped_count& operator=(const scoped_count&) = delete;
     };
 }
 
@@ -109,14 +110,14 @@
     return ok();
 }
 
-http_server::http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter refuser)
+http_server::http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter formatError)
     : m_threads(threads)
     , m_state(std::make_shared<shared_state>())
     , m_acceptor(threads.first())
 {
     m_state->limits = limits;
     m_state->handler = std::move(handler);
-    m_state->refuser = std::move(refuser);
+    m_state->formatError = std::move(formatError);
 }
 
 http_server::~http_server() = default;
@@ -125,7 +126,7 @@
 {
     BOOST_OUTCOME_TRYV(listenOn(m_acceptor, address));
     m_port = m_acceptor.local_endpoint().port();
-    asio::co_spawn(m_threads.first(), acceptAll(), asio::detached);
+    asio::co_spawn(m_threads.first(), acceptConnections(), asio::detached);
     return ok();
 }
 
@@ -138,7 +139,7 @@
     });
 }
 
-task_of<void> http_server::acceptAll()
+task_of<void> http_server::acceptConnections()
 {
     while (m_acceptor.is_open()) {
         auto& context = m_threads.next();
@@ -146,24 +147,24 @@
         if (!m_acceptor.is_open())
             co_return;
         if (error) {
-            // Out of file descriptors, most likely: a pause lets connections end.
+            // Most likely out of file descriptors: waits for connections to close.
             asio::steady_timer pause(m_threads.first(), milliseconds(20));
             co_await pause.async_wait(asTuple);
             continue;
         }
-        asio::co_spawn(context, serve(m_state, std::move(socket)), asio::detached);
+        asio::co_spawn(context, serveConnection(m_state, std::move(socket)), asio::detached);
     }
 }
 
-task_of<void> http_server::serve(std::shared_ptr<shared_state> state, asio::ip::tcp::socket socket)
+task_of<void> http_server::serveConnection(std::shared_ptr<shared_state> state, asio::ip::tcp::socket socket)
 {
     beast::tcp_stream stream(std::move(socket));
-    counted connection(state->connections);
+    scoped_count connection(state->connections);
     beast::error_code ignored;
     stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
     if (state->connections > state->limits.connections) {
-        auto refusal = state->refuser(reason::TooManyConnections);
-        co_await sendRefusal(stream, refusal, state->limits.writeTimeout);
+        auto response = state->formatError(reason::TooManyConnections);
+        co_await sendErrorResponse(stream, response, state->limits.writeTimeout);
         co_return;
     }
     co_await serveRequests(state, stream);
@@ -183,30 +184,30 @@
         stream.expires_after(limits.readTimeout);
         auto [headError, headBytes] = co_await http::async_read_header(stream, buffer, parser, asTuple);
         auto error = headError;
-        bool begun = buffer.size() > 0 || headBytes > 0;
+        bool started = buffer.size() > 0 || headBytes > 0;
         if (!error) {
             if (parser.get()[http::field::expect] == "100-continue") {
-                std::string goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-                co_await asio::async_write(stream, asio::buffer(goOn), asTuple);
+                std::string continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+                co_await asio::async_write(stream, asio::buffer(continueResponse), asTuple);
             }
             stream.expires_after(limits.readTimeout);
             auto [bodyError, bodyBytes] = co_await http::async_read(stream, buffer, parser, asTuple);
             error = bodyError;
-            begun = true;
+            started = true;
         }
         if (error) {
-            if (deservesAnswer(error, begun)) {
-                auto refusal = state->refuser(reasonOfReadError(error));
-                co_await sendRefusal(stream, refusal, limits.writeTimeout);
-                co_await drain(stream);
+            if (shouldRespond(error, started)) {
+                auto response = state->formatError(toReason(error));
+                co_await sendErrorResponse(stream, response, limits.writeTimeout);
+                co_await discardInput(stream);
             }
             co_return;
         }
-        counted active(state->active);
+        scoped_count active(state->active);
         stream.expires_never();
         http_exchange exchange(stream, parser.release(), limits.writeTimeout);
         if (state->draining)
-            exchange.closeAfter();
+            exchange.closeAfterResponse();
         co_await state->handler(exchange);
         if (!exchange.responseStarted() || !exchange.keepAlive() || state->draining)
             co_return;
--- a/Source/http/http_server.h
+++ b/Source/http/http_server.h
@@ -9,7 +9,7 @@
 
 namespace pistachiolatch {
 
-/// Bounds of one listening address.
+/// Limits and timeouts for the connections of a server.
 struct http_limits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 16ULL * 1024 * 1024;
@@ -19,7 +19,7 @@
     milliseconds writeTimeout { 30000 };
 };
 
-/// An answer to a request that could not be read, in the shape that this address's callers expect.
+/// Response to a request that could not be read, in the error format of the API served at this address.
 struct http_error_response {
     unsigned status = 400;
     std::string contentType;
@@ -28,24 +28,24 @@
 };
 
 using http_handler = std::function<task_of<void>(http_exchange&)>;
-using http_error_formatter = std::function<http_error_response(reason why)>;
+using http_error_formatter = std::function<http_error_response(reason cause)>;
 
-/// Accepts connections on one address and hands each request to the handler. A connection stays on one thread.
+/// Accepts connections on one address and passes each request to the handler. Each connection stays on one thread.
 class http_server {
 public:
     /// Precondition: the threads outlive the server.
-    http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter refuser);
+    http_server(traffic_threads& threads, http_limits limits, http_handler handler, http_error_formatter formatError);
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Begins to accept. Errors: address in use, in words. Thread safety: the starting thread.
+    /// Starts accepting connections. Errors: the address can't be bound. Thread safety: the starting thread.
     result<void> listen(const std::string& address);
-    /// The port that was bound.
+    /// Returns the bound port.
     std::uint16_t port() const { return m_port; }
-    /// Takes no new connections; open ones end after the request they are in. Thread safety: any thread.
+    /// Stops accepting connections; open ones are closed after their current request. Thread safety: any thread.
     void stopAccepting();
-    /// Requests being answered. Thread safety: any thread.
+    /// Returns the number of requests being processed. Thread safety: any thread.
     unsigned activeRequests() const { return m_state->active.load(); }
     unsigned connections() const { return m_state->connections.load(); }
 
@@ -53,13 +53,13 @@
     struct shared_state {
         http_limits limits;
         http_handler handler;
-        http_error_formatter refuser;
+        http_error_formatter formatError;
         std::atomic<unsigned> active { 0 };
         std::atomic<unsigned> connections { 0 };
         std::atomic<bool> draining { false };
     };
-    task_of<void> acceptAll();
-    static task_of<void> serve(std::shared_ptr<shared_state> state, boost::asio::ip::tcp::socket socket);
+    task_of<void> acceptConnections();
+    static task_of<void> serveConnection(std::shared_ptr<shared_state> state, boost::asio::ip::tcp::socket socket);
     static task_of<void> serveRequests(std::shared_ptr<shared_state> state, boost::beast::tcp_stream& stream);
 
     traffic_threads& m_threads;
@@ -68,11 +68,11 @@
     std::uint16_t m_port = 0;
 };
 
-/// Opens an acceptor on an address that isAddress() accepts. Errors: address in use, in words.
+/// Opens an acceptor and listens on an address. Precondition: isAddress() holds. Errors: the address can't be bound.
 /// Thread safety: the acceptor's thread.
 result<void> listenOn(boost::asio::ip::tcp::acceptor& acceptor, const std::string& address);
 
-/// Splits an address that isAddress() accepts. Thread safety: any thread.
+/// Parses an address. Precondition: isAddress() holds. Thread safety: any thread.
 boost::asio::ip::tcp::endpoint parseAddress(const std::string& address);
 
 } // namespace pistachiolatch
--- a/Source/http/pending_reply.h
+++ b/Source/http/pending_reply.h
@@ -10,7 +10,7 @@
 
 namespace pistachiolatch {
 
-/// Waits on a traffic thread for a value that another thread will give.
+/// Future that a coroutine on a traffic thread awaits and any other thread completes.
 template <typename T>
 class pending_reply {
 public:
@@ -19,7 +19,8 @@
     {
     }
 
-    /// What gives the value. The first value counts. Thread safety: may be called from any thread, at any time.
+    /// Returns a function that sets the value; only the first call has an effect. Thread safety: the function may be called
+    /// from any thread, at any time.
     std::function<void(T)> completer() const
     {
         return [state = m_state](T value) {
@@ -32,7 +33,7 @@
         };
     }
 
-    /// The value, or nothing at the timeout. Precondition: called on the executor's thread.
+    /// Waits for the value; returns nothing on timeout. Precondition: called on the executor's thread.
     task_of<std::optional<T>> wait(milliseconds timeout)
     {
         auto state = m_state;
--- a/Source/http/sse_parser.h
+++ b/Source/http/sse_parser.h
@@ -9,14 +9,14 @@
 class sse_parser {
 public:
     void feed(std::string_view bytes) { m_buffer.append(bytes); }
-    /// The data of the next whole event, or nothing until more bytes come.
+    /// Returns the data of the next complete event, if there is one.
     std::optional<std::string> next();
 
 private:
     std::string m_buffer;
 };
 
-/// One event as bytes. Precondition: the data has no line break.
+/// Formats an event. Precondition: the data contains no line break.
 std::string sseEvent(std::string_view data);
 
 } // namespace pistachiolatch
--- a/Source/http/traffic_threads.cpp
+++ b/Source/http/traffic_threads.cpp
@@ -32,7 +32,7 @@
 
 boost::asio::io_context& traffic_threads::next()
 {
-    return *m_contexts[m_turn++ % m_contexts.size()];
+    return *m_contexts[m_next++ % m_contexts.size()];
 }
 
 } // namespace pistachiolatch
--- a/Source/http/traffic_threads.h
+++ b/Source/http/traffic_threads.h
@@ -7,7 +7,7 @@
 
 namespace pistachiolatch {
 
-/// The threads that carry traffic, each with an io_context of its own, so that one connection stays on one thread.
+/// Pool of I/O threads, each with its own io_context, so that a connection stays on one thread.
 class traffic_threads {
 public:
     explicit traffic_threads(unsigned count);
@@ -16,9 +16,9 @@
     traffic_threads& operator=(const traffic_threads&) = delete;
 
     void start();
-    /// Ends the threads; handlers not yet run are dropped. Thread safety: any thread but the traffic threads.
+    /// Stops and joins the threads; pending handlers are not run. Thread safety: any thread except the traffic threads.
     void stop();
-    /// The contexts in turn. Thread safety: any thread.
+    /// Returns the contexts in round-robin order. Thread safety: any thread.
     boost::asio::io_context& next();
     boost::asio::io_context& first() { return *m_contexts.front(); }
 
@@ -26,7 +26,7 @@
     std::vector<std::unique_ptr<boost::asio::io_context>> m_contexts;
     std::vector<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> m_guards;
     std::vector<std::thread> m_threads;
-    std::atomic<std::size_t> m_turn { 0 };
+    std::atomic<std::size_t> m_next { 0 };
 };
 
 } // namespace pistachiolatch
