--- a/Source/wire/control_loop.cpp
+++ b/Source/wire/control_loop.cpp
@@ -43,28 +43,28 @@
         m_tasks.push_back(std::move(work));
     }
     std::uint64_t one = 1;
-    // A full counter still wakes the loop, so a failed write needs no answer.
+    // The write only fails if the counter is full, and the loop is woken then too.
     [[maybe_unused]] auto written = ::write(m_wakeDescriptor, &one, sizeof one);
 }
 
 void control_loop::call(const std::string& address, wire::envelope& message, milliseconds timeout, reply_handler handler)
 {
-    message.set_call(++m_lastCall);
-    m_calls[m_lastCall] = { now() + timeout, std::move(handler) };
+    message.set_call(++m_lastCallId);
+    m_pendingCalls[m_lastCallId] = { now() + timeout, std::move(handler) };
     m_wire.send(address, message);
 }
 
 void control_loop::run()
 {
     while (!m_stopping) {
-        m_wire.dropIdlePeers(now());
-        auto patience = std::clamp(std::chrono::ceil<milliseconds>(m_nextTick - now()), milliseconds(0), tickInterval);
-        m_wire.poll(patience, m_wakeDescriptor, [this](const wire::envelope& message) { receive(message); });
+        m_wire.closeIdlePeers(now());
+        auto timeout = std::clamp(std::chrono::ceil<milliseconds>(m_nextTick - now()), milliseconds(0), tickInterval);
+        m_wire.poll(timeout, m_wakeDescriptor, [this](const wire::envelope& message) { handleMessage(message); });
         runTasks();
         expireCalls();
         m_nextTick = now() + tickInterval;
-        if (m_tick)
-            m_tick();
+        if (m_tickHandler)
+            m_tickHandler();
     }
 }
 
@@ -81,32 +81,32 @@
         work();
 }
 
-void control_loop::receive(const wire::envelope& message)
+void control_loop::handleMessage(const wire::envelope& message)
 {
     if (message.reply_to() == 0) {
-        if (m_receive)
-            m_receive(message);
+        if (m_messageHandler)
+            m_messageHandler(message);
         return;
     }
-    // A reply that comes after its timeout, or twice, finds no call any more and is dropped.
-    auto found = m_calls.find(message.reply_to());
-    if (found == m_calls.end())
+    // Drops duplicate replies and replies that arrive after the timeout.
+    auto found = m_pendingCalls.find(message.reply_to());
+    if (found == m_pendingCalls.end())
         return;
     auto handler = std::move(found->second.handler);
-    m_calls.erase(found);
+    m_pendingCalls.erase(found);
     handler(&message);
 }
 
 void control_loop::expireCalls()
 {
     std::vector<reply_handler> expired;
-    for (auto it = m_calls.begin(); it != m_calls.end();) {
+    for (auto it = m_pendingCalls.begin(); it != m_pendingCalls.end();) {
         if (it->second.deadline > now()) {
             ++it;
             continue;
         }
         expired.push_back(std::move(it->second.handler));
-        it = m_calls.erase(it);
+        it = m_pendingCalls.erase(it);
     }
     for (auto& handler : expired)
         handler(nullptr);
--- a/Source/wire/control_loop.h
+++ b/Source/wire/control_loop.h
@@ -9,29 +9,30 @@
 
 namespace pistachiolatch {
 
-/// The one thread of a process that owns its control state and its transport.
-/// Other threads reach that state only by posting a task here.
+/// Event loop of the thread that owns the control state and the transport of a process.
+/// Other threads access that state only by posting tasks.
 class control_loop {
 public:
     using task = std::function<void()>;
     using reply_handler = std::function<void(const wire::envelope* reply)>;
 
-    /// Preconditions: the references outlive the loop.
+    /// Precondition: the references outlive the loop.
     control_loop(transport& wire, const clock_source& clock);
     ~control_loop();
     control_loop(const control_loop&) = delete;
     control_loop& operator=(const control_loop&) = delete;
 
-    /// Called for every message that is no reply to a call. Precondition: set before start().
-    void onMessage(transport::receiver receive) { m_receive = std::move(receive); }
-    /// Called at least each tick interval and after every batch of messages. Precondition: set before start().
-    void onTick(task tick) { m_tick = std::move(tick); }
+    /// Sets the handler for messages other than replies. Precondition: called before start().
+    void onMessage(transport::message_handler handler) { m_messageHandler = std::move(handler); }
+    /// Sets a task that runs at least once per tick interval and after every batch of messages. Precondition: called before
+    /// start().
+    void onTick(task handler) { m_tickHandler = std::move(handler); }
     void start();
-    /// Ends the thread after the tasks already posted. Thread safety: any thread but the loop's own.
+    /// Stops the thread after the tasks already posted have run. Thread safety: any thread except the loop's own.
     void stop();
     /// Runs a task on the loop's thread. Thread safety: any thread.
     void post(task work);
-    /// Sends a message and waits for its reply without blocking; the handler gets null at the timeout.
+    /// Sends a request and calls the handler with the reply, or with null on timeout.
     /// Precondition: called on the loop's thread.
     void call(const std::string& address, wire::envelope& message, milliseconds timeout, reply_handler handler);
     /// Precondition: used on the loop's thread.
@@ -45,20 +46,20 @@
     };
     void run();
     void runTasks();
-    void receive(const wire::envelope& message);
+    void handleMessage(const wire::envelope& message);
     void expireCalls();
 
     transport& m_wire;
     const clock_source& m_clock;
-    transport::receiver m_receive;
-    task m_tick;
+    transport::message_handler m_messageHandler;
+    task m_tickHandler;
     std::mutex m_mutex;
     std::vector<task> m_tasks;
     bool m_stopping = false;
     int m_wakeDescriptor = -1;
     std::thread m_thread;
-    std::uint64_t m_lastCall = 0;
-    std::map<std::uint64_t, pending_call> m_calls;
+    std::uint64_t m_lastCallId = 0;
+    std::map<std::uint64_t, pending_call> m_pendingCalls;
     time_point m_nextTick {};
 };
 
--- a/Source/wire/transport.cpp
+++ b/Source/wire/transport.cpp
@@ -9,10 +9,10 @@
 namespace {
     constexpr int highWaterMark = 10000;
     constexpr int reconnectMillis = 50;
-    constexpr int reconnectMostMillis = 500;
+    constexpr int maxReconnectMillis = 500;
     constexpr int heartbeatMillis = 1000;
     constexpr int heartbeatTimeoutMillis = 3000;
-    constexpr std::size_t largestFrame = 256UL * 1024 * 1024;
+    constexpr std::size_t maxMessageBytes = 256UL * 1024 * 1024;
     constexpr auto idlePeerLifetime = std::chrono::seconds(60);
 
     struct peer {
@@ -35,7 +35,7 @@
     , m_metrics(counters)
     , m_impl(std::make_unique<impl>())
 {
-    // A malformed frame is counted; the library's own lines about it are no key=value lines and could flood the log.
+    // Malformed frames are counted. The library's own messages about them are not key=value lines and could flood the log.
     google::protobuf::SetLogHandler(nullptr);
 }
 
@@ -44,7 +44,7 @@
 result<void> transport::open()
 {
     try {
-        // The ZAP handler must stand before the ROUTER binds, or early peers would be let in unchecked.
+        // The ZAP handler must be bound before the ROUTER, or early peers would be accepted without authentication.
         m_impl->authenticator.bind("inproc://zeromq.zap.01");
         auto& router = m_impl->router;
         router.set(zmq::sockopt::linger, 0);
@@ -52,7 +52,7 @@
         router.set(zmq::sockopt::curve_server, true);
         router.set(zmq::sockopt::curve_secretkey, m_settings.secretKey);
         router.set(zmq::sockopt::zap_domain, "pistachiolatch");
-        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(largestFrame));
+        router.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(maxMessageBytes));
         router.set(zmq::sockopt::heartbeat_ivl, heartbeatMillis);
         router.set(zmq::sockopt::heartbeat_timeout, heartbeatTimeoutMillis);
         router.bind("tcp://" + m_settings.listen);
@@ -78,13 +78,13 @@
             socket.set(zmq::sockopt::linger, 0);
             socket.set(zmq::sockopt::sndhwm, highWaterMark);
             socket.set(zmq::sockopt::reconnect_ivl, reconnectMillis);
-            socket.set(zmq::sockopt::reconnect_ivl_max, reconnectMostMillis);
+            socket.set(zmq::sockopt::reconnect_ivl_max, maxReconnectMillis);
             socket.set(zmq::sockopt::heartbeat_ivl, heartbeatMillis);
             socket.set(zmq::sockopt::heartbeat_timeout, heartbeatTimeoutMillis);
             socket.set(zmq::sockopt::curve_serverkey, m_settings.publicKey);
             socket.set(zmq::sockopt::curve_publickey, m_settings.publicKey);
             socket.set(zmq::sockopt::curve_secretkey, m_settings.secretKey);
-            // The source is this VM's own IP, so that a firewall between VMs can tell them apart.
+            // Binds the source address to this VM's IP, so that firewalls between VMs can match on it.
             auto ip = m_settings.listen.substr(0, m_settings.listen.rfind(':'));
             socket.connect("tcp://" + ip + ":0;" + address);
             found = m_impl->peers.emplace(address, peer { std::move(socket), {} }).first;
@@ -109,7 +109,7 @@
     send(call.sender_address(), message);
 }
 
-void transport::poll(milliseconds patience, int wakeDescriptor, const receiver& receive)
+void transport::poll(milliseconds timeout, int wakeDescriptor, const message_handler& handler)
 {
     std::array<zmq::pollitem_t, 3> items { {
         { m_impl->router.handle(), 0, ZMQ_POLLIN, 0 },
@@ -117,20 +117,20 @@
         { nullptr, wakeDescriptor, ZMQ_POLLIN, 0 },
     } };
     try {
-        zmq::poll(items.data(), items.size(), patience);
+        zmq::poll(items.data(), items.size(), timeout);
     } catch (const zmq::error_t&) {
-        return; // A signal interrupted the wait; the loop comes round again.
+        return; // Interrupted by a signal; the control loop polls again.
     }
     if (items[1].revents)
-        authenticate();
+        handleAuthentication();
     if (items[0].revents)
-        receiveAll(receive);
+        receiveMessages(handler);
 }
 
-void transport::authenticate()
+void transport::handleAuthentication()
 {
     // ZAP 1.0: version, request id, domain, address, identity, mechanism, credentials.
-    constexpr std::size_t requestParts = 7;
+    constexpr std::size_t requestFrames = 7;
     while (true) {
         std::vector<std::string> parts;
         zmq::message_t part;
@@ -145,7 +145,7 @@
         std::array<char, 41> clientKey {};
         bool member = false;
         constexpr std::size_t rawKeyLength = 32;
-        if (parts.size() == requestParts && parts[5] == "CURVE" && parts[6].size() == rawKeyLength) {
+        if (parts.size() == requestFrames && parts[5] == "CURVE" && parts[6].size() == rawKeyLength) {
             zmq_z85_encode(clientKey.data(), reinterpret_cast<const std::uint8_t*>(parts[6].data()), rawKeyLength);
             member = equalConstantTime(std::string_view(clientKey.data()), m_settings.publicKey);
         }
@@ -157,35 +157,36 @@
     }
 }
 
-void transport::receiveAll(const receiver& receive)
+void transport::receiveMessages(const message_handler& handler)
 {
-    // A bound a round keeps timers alive under a flood of messages.
-    constexpr int mostMessagesARound = 2000;
-    for (int i = 0; i < mostMessagesARound; ++i) {
+    // Bounded, so that timers still run under a flood of messages.
+    constexpr int maxMessagesPerPoll = 2000;
+    for (int i = 0; i < maxMessagesPerPoll; ++i) {
         zmq::message_t identity;
         if (!m_impl->router.recv(identity, zmq::recv_flags::dontwait))
             return;
         zmq::message_t body;
-        bool whole = identity.more();
-        while (whole && m_impl->router.recv(body, zmq::recv_flags::none) && body.more())
-            whole = false;
+        bool valid = identity.more();
+        while (valid && m_impl->router.recv(body, zmq::recv_flags::none) && body.more())
+            valid = false;
         m_metrics.count("wire_received_bytes", static_cast<double>(body.size()));
         wire::envelope message;
-        if (!whole || !message.ParseFromArray(body.data(), static_cast<int>(body.size())) || !isAddress(message.sender_address())) {
+        if (!valid || !message.ParseFromArray(body.data(), static_cast<int>(body.size())) || !isAddress(message.sender_address())) {
             m_metrics.count("wire_frame_dropped");
             continue;
         }
-        // ZeroMQ keeps messages for a peer that is down and gives them to the next run of it. A reply or a grant meant
-        // for the earlier run would meet a call of the same number, or renew a lease over a state it was not made for.
+        // ZeroMQ queues messages for a peer that is down and delivers them after its restart. A reply to the previous
+        // incarnation could match a pending call with the same number, and a grant could renew a lease over state that it
+        // was not issued for.
         if (message.receiver_incarnation() != 0 && message.receiver_incarnation() != m_incarnation) {
             m_metrics.count("wire_for_earlier_run");
             continue;
         }
-        receive(message);
+        handler(message);
     }
 }
 
-void transport::dropIdlePeers(time_point now)
+void transport::closeIdlePeers(time_point now)
 {
     m_impl->now = now;
     std::erase_if(m_impl->peers, [now](const auto& item) { return now - item.second.lastUsed > idlePeerLifetime; });
--- a/Source/wire/wire.h
+++ b/Source/wire/wire.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Messages between the system's processes: protobuf over ZeroMQ, driven by one control thread.
-/// This is the library's one public header.
+/// Messaging between the processes of a cluster: protobuf over ZeroMQ, run by one control thread.
+/// This is the library's only public header.
 #include "wire/control_loop.h"
 #include "wire/generated/pistachiolatch.pb.h"
 #include "wire/transport.h"
--- a/Source/wire/wire_settings.cpp
+++ b/Source/wire/wire_settings.cpp
@@ -24,7 +24,7 @@
     std::set<std::string> seen;
     for (const auto& address : settings.controls) {
         if (!isAddress(address) || !seen.insert(address).second)
-            reader.reject("wire.controls", fmt::format("holds \"{}\", which is not an address or stands there twice", address));
+            reader.reject("wire.controls", fmt::format("contains \"{}\", which is not an address or is a duplicate", address));
     }
     return settings;
 }
--- a/Source/wire/wire_settings.h
+++ b/Source/wire/wire_settings.h
@@ -5,20 +5,21 @@
 
 namespace pistachiolatch {
 
-/// How a process takes part in the exchange between the system's own processes.
+/// Settings for messaging with the other processes of the cluster.
 struct wire_settings {
     std::string vm;
     std::string dataCentre;
     std::string listen;
-    /// What peers connect to; differs from listen only behind an address translation.
+    /// Address that peers connect to; differs from listen only behind NAT.
     std::string advertise;
-    /// The cluster's CURVE key pair in Z85: every member holds it, nobody else does.
+    /// CURVE key pair in Z85, shared by all members of the cluster.
     std::string publicKey;
     std::string secretKey;
+    /// Wire addresses of the control processes.
     std::vector<std::string> controls;
 };
 
-/// Reads the [vm] and [wire] tables. Errors are collected in the reader.
+/// Reads the [vm] and [wire] tables. Errors are reported by the reader.
 wire_settings readWireSettings(settings_reader& reader);
 
 } // namespace pistachiolatch
