--- a/Source/program/program.h
+++ b/Source/program/program.h
@@ -1,5 +1,5 @@
 #pragma once
-/// What the long-running programs share: options, settings check, signals, exit codes.
-/// This is the library's one public header.
+/// Common code of the long-running programs: command line, settings check, signals, exit codes.
+/// This is the library's only public header.
 #include "program/program_main.h"
 #include "program/server_process.h"
--- a/Source/program/program_main.cpp
+++ b/Source/program/program_main.cpp
@@ -11,12 +11,12 @@
 namespace pistachiolatch {
 
 namespace {
-    void printLines(const std::string& text)
+    void printError(const std::string& text)
     {
         fmt::print(stderr, "{}\n", text);
     }
 
-    int waitForEnd(const program_definition& body, const sigset_t& signals)
+    int waitForShutdown(const program_definition& program, const sigset_t& signals)
     {
         int signal = 0;
         while (true) {
@@ -24,11 +24,11 @@
             if (signal != SIGHUP)
                 break;
             logEvent("reloading", {});
-            if (body.reload)
-                body.reload();
+            if (program.reload)
+                program.reload();
         }
         logEvent("stopping", { { "signal", signal } });
-        body.stop();
+        program.stop();
         logEvent("stopped", {});
         return exitOk;
     }
@@ -39,24 +39,24 @@
     static char option[] = "--settings";
     std::vector<char*> arguments(argv, argv + argc);
     char* path = std::getenv(variable);
-    bool named = std::any_of(arguments.begin(), arguments.end(), [](const char* one) { return std::string_view(one) == option; });
-    if (path && !named) {
+    bool hasOption = std::any_of(arguments.begin(), arguments.end(), [](const char* argument) { return std::string_view(argument) == option; });
+    if (path && !hasOption) {
         arguments.push_back(option);
         arguments.push_back(path);
     }
     return arguments;
 }
 
-int runProgram(int argc, char** argv, const char* version, program_definition body)
+int runProgram(int argc, char** argv, const char* version, program_definition program)
 {
-    CLI::App app(body.summary, body.name);
+    CLI::App app(program.summary, program.name);
     std::string settingsPath;
     bool checkOnly = false;
     app.add_option("--settings", settingsPath, "TOML settings file")->required();
     app.add_flag("--check", checkOnly, "check the settings and exit");
-    for (const auto& flag : body.flags)
+    for (const auto& flag : program.flags)
         app.add_flag(flag.name, *flag.value, flag.help);
-    app.set_version_flag("--version", fmt::format("{} {}", body.name, version));
+    app.set_version_flag("--version", fmt::format("{} {}", program.name, version));
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
@@ -65,12 +65,12 @@
 
     auto reader = settings_reader::load(settingsPath);
     if (!reader) {
-        printLines(reader.error().message);
+        printError(reader.error().message);
         return exitBadInput;
     }
-    auto checked = body.check(reader.value());
+    auto checked = program.check(reader.value());
     if (!checked) {
-        printLines(checked.error().message);
+        printError(checked.error().message);
         return exitBadInput;
     }
     if (checkOnly) {
@@ -78,7 +78,7 @@
         return exitOk;
     }
 
-    // Signals are blocked before any thread starts, so that only this thread takes them.
+    // Blocked before other threads start and inherit the mask, so that only sigwait() in this thread receives signals.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
@@ -87,13 +87,13 @@
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
 
-    auto started = body.start();
+    auto started = program.start();
     if (!started) {
-        printLines(fmt::format("{}: {}", settingsPath, started.error().message));
+        printError(fmt::format("{}: {}", settingsPath, started.error().message));
         return exitBadInput;
     }
     logEvent("started", { { "version", version } });
-    return waitForEnd(body, signals);
+    return waitForShutdown(program, signals);
 }
 
 } // namespace pistachiolatch
--- a/Source/program/program_main.h
+++ b/Source/program/program_main.h
@@ -11,34 +11,34 @@
 constexpr int exitFailed = 1;
 constexpr int exitBadInput = 2;
 
-/// A flag of one program's own.
+/// Command-line flag specific to one program.
 struct program_flag {
     std::string name;
     std::string help;
     bool* value = nullptr;
 };
 
-/// One long-running program.
+/// Description and callbacks of a long-running program.
 struct program_definition {
     std::string name;
     std::string summary;
-    /// Reads and checks the settings. Errors: every problem found, one a line.
+    /// Reads and validates the settings. Errors: all errors found, one per line.
     std::function<result<void>(settings_reader& reader)> check;
-    /// Starts all services. Errors: what could not be started.
+    /// Starts all services. Errors: the error of the service that failed.
     std::function<result<void>()> start;
-    /// Finishes the work in hand and stops all services.
+    /// Completes work in progress and stops all services.
     std::function<void()> stop;
     std::vector<program_flag> flags = {};
-    /// Reads the settings again at SIGHUP. May be empty: the signal then changes nothing.
+    /// Reloads the settings on SIGHUP. If empty, the signal has no effect.
     std::function<void()> reload = {};
 };
 
-/// The settings file that a variable of the environment names, as arguments for runProgram(): added when the command
-/// line names none. Precondition: argv lives as long as the process.
+/// Returns argv, with --settings added from an environment variable if the command line does not contain it.
+/// Precondition: argv lives as long as the process.
 std::vector<char*> addSettingsFromEnvironment(const char* variable, int argc, char** argv);
 
-/// Parses --help, --version, --check and --settings FILE, then runs until SIGTERM or SIGINT, which stop it
-/// gracefully. Returns the exit code.
-int runProgram(int argc, char** argv, const char* version, program_definition body);
+/// Parses the command line, starts the program and runs it until SIGTERM or SIGINT, which stop it gracefully. Returns the
+/// exit code.
+int runProgram(int argc, char** argv, const char* version, program_definition program);
 
 } // namespace pistachiolatch
--- a/Source/program/server_process.cpp
+++ b/Source/program/server_process.cpp
@@ -29,11 +29,11 @@
     addListener(adminService, *m_admin, address, true);
 }
 
-void server_process::runFinalTask(control_loop::task lastTask)
+void server_process::runFinalTask(control_loop::task finalTask)
 {
-    constexpr milliseconds sendingTime { 100 };
-    registry.find<control_loop>(loopService).post(std::move(lastTask));
-    std::this_thread::sleep_for(sendingTime);
+    constexpr milliseconds flushTime { 100 };
+    registry.find<control_loop>(loopService).post(std::move(finalTask));
+    std::this_thread::sleep_for(flushTime);
 }
 
 } // namespace pistachiolatch
--- a/Source/program/server_process.h
+++ b/Source/program/server_process.h
@@ -7,13 +7,12 @@
 
 namespace pistachiolatch {
 
-/// What every long-running process is built of: clock, metrics, the registry of its services, its transport, the
-/// control thread, traffic threads and the admin port. A program derives from it, adds its own services, and finds
-/// those it uses by name.
-/// Thread safety: the thread that starts the process.
+/// Base class of the long-running processes, with clock, metrics, service registry, transport, control thread, traffic
+/// threads and admin server. Derived classes add their own services to the registry and look up others by name.
+/// Thread safety: used only by the thread that starts the process.
 class server_process {
 public:
-    /// The names of the services that each process has.
+    /// Names of the common services.
     static constexpr const char* wireService = "wire";
     static constexpr const char* loopService = "control_loop";
     static constexpr const char* trafficService = "traffic";
@@ -25,11 +24,11 @@
     server_process& operator=(const server_process&) = delete;
 
 protected:
-    /// Adds transport, control thread and traffic threads. Precondition: called first.
+    /// Adds transport, control thread and traffic threads. Precondition: called before addAdmin() and addListener().
     void addCore(const char* program, const wire_settings& settings, unsigned trafficThreads);
-    /// Adds the admin port.
+    /// Adds the admin server.
     void addAdmin(const std::string& address, admin_hooks hooks);
-    /// Adds an HTTP server (or what behaves like one) that listens once traffic flows.
+    /// Adds a server with listen() and stopAccepting(), which starts after the traffic threads.
     template <typename Server>
     void addListener(const std::string& name, Server& server, const std::string& address, bool stopsWithRegistry)
     {
@@ -38,9 +37,9 @@
             hooks.stop = [&server] { server.stopAccepting(); };
         registry.add(name, server, std::move(hooks));
     }
-    /// Posts a last task to the control thread and leaves its messages a moment to go out: ZeroMQ sends in the
-    /// background, and what tells control that this process stops should arrive before it has stopped.
-    void runFinalTask(control_loop::task lastTask);
+    /// Posts a task to the control thread and waits briefly for its messages to be sent. ZeroMQ sends in the background,
+    /// and the control process should learn of the shutdown before this process exits.
+    void runFinalTask(control_loop::task finalTask);
 
     steady_clock_source clock;
     metrics counters;
