--- a/Source/consensus/file_log_store.cpp
+++ b/Source/consensus/file_log_store.cpp
@@ -159,7 +159,7 @@
         // The incarnation is synced before anything else: a vote must not be cast under an incarnation that a crash loses.
         if (::access(path(logFile).c_str(), F_OK) == 0)
             return failure { fmt::format("{}: the folder has a log but no incarnation file; restore the file or empty the folder", folder) };
-        replica.incarnation = incarnationIfNew.value_or(freshIncarnation());
+        replica.incarnation = incarnationIfNew.value_or(generateIncarnation());
         BOOST_OUTCOME_TRYV(writeFile(incarnationFile, std::to_string(replica.incarnation)));
     }
     BOOST_OUTCOME_TRY(auto hardState, readFile(hardStateFile, present));
--- a/Source/control/main.cpp
+++ b/Source/control/main.cpp
@@ -26,7 +26,7 @@
     }
 
     /// A control process: a replica of the log and the operator API.
-    class control_process : public wired_process {
+    class control_process : public server_process {
     public:
         control_settings settings;
         /// Creates a new log. A command-line flag and not a setting: left in a settings file, it would make a VM whose
--- a/Source/control/operator_api.cpp
+++ b/Source/control/operator_api.cpp
@@ -36,7 +36,7 @@
         return boost::json::serialize(body);
     }
 
-    http_refusal makeErrorResponse(reason why)
+    http_error_response makeErrorResponse(reason why)
     {
         return { httpStatus(why), jsonType, errorJson(std::string(reasonName(why)), std::string(reasonAdvice(why))), {} };
     }
--- a/Source/coordination/entry_coordinator.cpp
+++ b/Source/coordination/entry_coordinator.cpp
@@ -22,10 +22,10 @@
     , m_metrics(counters)
     , m_settings(settings)
     , m_decode(std::move(decode))
-    , m_directory(freshIncarnation(), settings.directory)
+    , m_directory(generateIncarnation(), settings.directory)
     , m_blocks({ settings.directory.silentAfter })
     , m_pieceTimer(context)
-    , m_planner(freshIncarnation())
+    , m_planner(generateIncarnation())
     , m_planTimer(context)
     , m_timer(context)
     , m_limitTimer(context)
@@ -163,7 +163,7 @@
     m_pendingLimits.clear();
     m_pendingPlans.clear();
     m_planQueue.clear();
-    m_planner = engine_planner(freshIncarnation());
+    m_planner = engine_planner(generateIncarnation());
     m_plannerVersion = 0;
     m_limits.reset();
     m_limitedOrganisations.clear();
--- a/Source/coordination/stage_order_client.h
+++ b/Source/coordination/stage_order_client.h
@@ -26,9 +26,9 @@
 
 /// Encodes and decodes the HTTP messages of orders.
 struct stage_order_codec {
-    std::function<http_call()> encodeStatusRequest;
+    std::function<http_request()> encodeStatusRequest;
     std::function<std::optional<stage_order_status>(const std::string& body)> decodeStatus;
-    std::function<http_call(const stage_order&)> encodeOrder;
+    std::function<http_request(const stage_order&)> encodeOrder;
 };
 
 /// Sends stage orders to endpoints. An order without an answer may have been accepted; the endpoint's reports show the
--- a/Source/endpoints/http_json_endpoint.cpp
+++ b/Source/endpoints/http_json_endpoint.cpp
@@ -11,16 +11,16 @@
     constexpr unsigned statusConflict = 409;
     constexpr unsigned statusGone = 410;
 
-    http_call makeCall(const char* target, const json::object& body)
+    http_request makeCall(const char* target, const json::object& body)
     {
-        http_call call;
+        http_request call;
         call.target = target;
         call.headers = { { "Content-Type", "application/json" } };
         call.body = json::serialize(body);
         return call;
     }
 
-    endpoint_status toStatus(const http_answer& response)
+    endpoint_status toStatus(const http_response& response)
     {
         switch (response.failed) {
         case call_failure::NotSent:
@@ -135,8 +135,8 @@
 {
     auto call = makeCall("/kv/import", importBody(request));
     http_client client(co_await boost::asio::this_coro::executor);
-    http_answer response;
-    response.failed = co_await client.start(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
+    http_response response;
+    response.failed = co_await client.send(m_address, call, m_timeouts.connect, m_timeouts.transferProgress);
     if (response.failed == call_failure::None)
         response.failed = co_await client.readHead(m_timeouts.transferProgress);
     if (response.failed == call_failure::None)
@@ -171,8 +171,8 @@
     m_tag = request.tag;
     m_events = {};
     m_stream.emplace(co_await boost::asio::this_coro::executor);
-    http_answer response;
-    response.failed = co_await m_stream->start(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
+    http_response response;
+    response.failed = co_await m_stream->send(m_address, call, m_timeouts.connect, m_timeouts.tokenProgress);
     if (response.failed == call_failure::None)
         response.failed = co_await m_stream->readHead(m_timeouts.tokenProgress);
     if (response.failed == call_failure::None)
@@ -189,7 +189,7 @@
 
 task_of<endpoint_request_list> http_json_endpoint::listRequests()
 {
-    http_call call;
+    http_request call;
     call.method = "GET";
     call.target = "/requests";
     auto response = co_await http_client::fetch(m_address, call, m_timeouts.connect, m_timeouts.cancel);
--- a/Source/entry/caller_api.cpp
+++ b/Source/entry/caller_api.cpp
@@ -46,11 +46,11 @@
     return fmt::format("{}.{}", m_context.node.self().name, randomHex(idBytes));
 }
 
-http_refusal caller_api::makeRefusal(reason cause) const
+http_error_response caller_api::makeRefusal(reason cause) const
 {
     m_context.counters.countRefusal(cause);
     caller_error error { cause, run_state::NotRun, cause == reason::TooManyConnections ? noConfigRetryDelay : milliseconds(0), "" };
-    http_refusal refusal { httpStatus(cause), jsonContentType, errorBody(error, makeRequestId()), {} };
+    http_error_response refusal { httpStatus(cause), jsonContentType, errorBody(error, makeRequestId()), {} };
     if (error.retryAfter.count() > 0)
         refusal.headers.emplace_back("Retry-After", std::to_string(std::chrono::ceil<std::chrono::seconds>(error.retryAfter).count()));
     return refusal;
@@ -60,7 +60,7 @@
 {
     using namespace boost::asio::experimental::awaitable_operators;
     auto requestId = makeRequestId();
-    auto finished = co_await (routeSafely(exchange, requestId) || exchange.callerGone());
+    auto finished = co_await (routeSafely(exchange, requestId) || exchange.waitForDisconnect());
     constexpr std::size_t callerGoneIndex = 1;
     if (finished.index() != callerGoneIndex)
         co_return;
--- a/Source/entry/caller_api.h
+++ b/Source/entry/caller_api.h
@@ -15,7 +15,7 @@
     /// Handles one request of an endpoint (POST /announce).
     task_of<void> handleEndpointRequest(http_exchange& exchange);
     /// Makes the response to a request that could not be read, and counts the refusal.
-    http_refusal makeRefusal(reason cause) const;
+    http_error_response makeRefusal(reason cause) const;
 
 private:
     /// Routes a request and answers an unexpected exception with an internal error.
--- a/Source/entry/model_call.cpp
+++ b/Source/entry/model_call.cpp
@@ -185,13 +185,13 @@
     }
     if (!m_request.stream)
         co_return true;
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         http_headers headers { { "X-Request-Id", m_caller.requestId }, { "Cache-Control", "no-cache" } };
         if (!co_await m_exchange.beginStream(200, "text/event-stream", headers))
             co_return false;
     }
     auto event = sseEvent(formatChunk(m_metadata, text));
-    co_return co_await m_exchange.writePiece(event);
+    co_return co_await m_exchange.writeChunk(event);
 }
 
 task_of<void> model_call::sendResponse()
@@ -206,20 +206,20 @@
         co_await m_exchange.respond(200, "application/json", std::move(body), headers);
         co_return;
     }
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         http_headers headers { { "X-Request-Id", m_caller.requestId }, { "Cache-Control", "no-cache" } };
         if (!co_await m_exchange.beginStream(200, "text/event-stream", headers))
             co_return;
     }
     auto ending = sseEvent(formatFinalChunk(m_metadata, m_output.finishReason, usage)) + sseEvent("[DONE]");
-    if (co_await m_exchange.writePiece(ending))
+    if (co_await m_exchange.writeChunk(ending))
         co_await m_exchange.endStream();
 }
 
 task_of<void> model_call::sendFailure(const caller_error& error)
 {
     m_context.node.journal().record(m_caller.requestId, "refused", { { "reason", reasonName(error.cause) }, { "run", runStateName(error.runState) } });
-    if (!m_exchange.answered()) {
+    if (!m_exchange.responseStarted()) {
         co_await sendError(m_exchange, error, m_caller.requestId, m_context.counters);
         co_return;
     }
@@ -227,7 +227,7 @@
     // complete response.
     m_context.counters.countRefusal(error.cause);
     auto event = sseEvent(errorBody(error, m_caller.requestId));
-    co_await m_exchange.writePiece(event);
+    co_await m_exchange.writeChunk(event);
     m_exchange.abortStream();
 }
 
--- a/Source/entry/service_call.cpp
+++ b/Source/entry/service_call.cpp
@@ -25,10 +25,10 @@
         return result;
     }
 
-    http_call makeHttpCall(const service_request& request)
+    http_request makeHttpCall(const service_request& request)
     {
         // Only these headers are forwarded; everything else that the caller sent, above all its key, stays here.
-        http_call call;
+        http_request call;
         call.method = request.method;
         call.target = request.target;
         call.headers = { { "X-Request-Id", request.caller.requestId }, { "X-Organisation", request.caller.organisation } };
--- a/Source/http/http_exchange.cpp
+++ b/Source/http/http_exchange.cpp
@@ -12,10 +12,10 @@
 
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    constexpr milliseconds closeCheckInterval { 200 };
+    constexpr milliseconds disconnectCheckInterval { 200 };
     constexpr unsigned httpVersion11 = 11;
 
-    bool peerClosed(int descriptor)
+    bool isPeerClosed(int descriptor)
     {
         pollfd item { descriptor, POLLRDHUP, 0 };
         return ::poll(&item, 1, 0) > 0 && (item.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
@@ -36,9 +36,9 @@
 
 task_of<bool> http_exchange::respond(unsigned status, const std::string& contentType, std::string body, const http_headers& headers)
 {
-    if (m_answered)
+    if (m_responseStarted)
         co_return false;
-    m_answered = true;
+    m_responseStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(status), httpVersion11);
     if (!contentType.empty())
         response.set(http::field::content_type, contentType);
@@ -57,9 +57,9 @@
 
 task_of<bool> http_exchange::beginStream(unsigned status, const std::string& contentType, const http_headers& headers)
 {
-    if (m_answered)
+    if (m_responseStarted)
         co_return false;
-    m_answered = true;
+    m_responseStarted = true;
     http::response<http::empty_body> response(static_cast<http::status>(status), httpVersion11);
     response.set(http::field::content_type, contentType);
     for (const auto& [name, value] : headers)
@@ -82,9 +82,9 @@
     co_return !error;
 }
 
-task_of<bool> http_exchange::writePiece(const std::string& piece)
+task_of<bool> http_exchange::writeChunk(const std::string& chunk)
 {
-    auto framed = fmt::format("{:x}\r\n{}\r\n", piece.size(), piece);
+    auto framed = fmt::format("{:x}\r\n{}\r\n", chunk.size(), chunk);
     co_return co_await write(framed);
 }
 
@@ -101,14 +101,14 @@
     m_stream.socket().shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
 }
 
-task_of<void> http_exchange::callerGone()
+task_of<void> http_exchange::waitForDisconnect()
 {
     auto& socket = m_stream.socket();
     auto [error] = co_await socket.async_wait(asio::socket_base::wait_read, asTuple);
     asio::steady_timer timer(co_await asio::this_coro::executor);
-    // A caller that already sent its next request keeps the socket readable, so closing shows only to a look now and then.
-    while (!error && !peerClosed(socket.native_handle())) {
-        timer.expires_after(closeCheckInterval);
+    // A pipelined request keeps the socket readable, so a disconnect can only be detected by polling.
+    while (!error && !isPeerClosed(socket.native_handle())) {
+        timer.expires_after(disconnectCheckInterval);
         co_await timer.async_wait(asTuple);
     }
 }
--- a/Source/load/load_runner.cpp
+++ b/Source/load/load_runner.cpp
@@ -94,14 +94,14 @@
     }
 }
 
-http_call load_runner::makeModelRequest(const traffic_stream& stream, const std::string& prompt) const
+http_request load_runner::makeModelRequest(const traffic_stream& stream, const std::string& prompt) const
 {
     json::object body;
     body["model"] = stream.target;
     body["prompt"] = prompt;
     body["max_tokens"] = stream.maxTokens;
     body["stream"] = true;
-    http_call call;
+    http_request call;
     call.target = "/v1/completions";
     call.headers = { { "Authorization", "Bearer " + m_target.keys.at(stream.organisation) }, { "Content-Type", "application/json" } };
     call.body = json::serialize(body);
@@ -116,7 +116,7 @@
     outcome.scheduledAt = request.sendAt;
     auto call = makeModelRequest(stream, request.prompt);
     http_client client(m_context.get_executor());
-    auto failed = co_await client.start(nextEntry(), call, connectTimeout, responseTimeout);
+    auto failed = co_await client.send(nextEntry(), call, connectTimeout, responseTimeout);
     if (failed == call_failure::None)
         failed = co_await client.readHead(responseTimeout);
     if (failed != call_failure::None) {
@@ -134,7 +134,7 @@
         }
     }
     outcome.finishedAt = sinceStart();
-    validateResponse(response, client.whole(), request, outcome);
+    validateResponse(response, client.isComplete(), request, outcome);
     recordOutcome(std::move(outcome));
 }
 
@@ -187,7 +187,7 @@
     outcome.stream = request.stream;
     outcome.scheduledAt = request.sendAt;
     auto marker = fmt::format("call {}", request.number);
-    http_call call;
+    http_request call;
     call.method = stream.method;
     call.target = fmt::format("/services/{}/{}", stream.target, request.number);
     call.headers = { { "Authorization", "Bearer " + m_target.keys.at(stream.organisation) } };
--- a/Source/load/load_runner.h
+++ b/Source/load/load_runner.h
@@ -34,7 +34,7 @@
         bool hasFinishReason = false;
         bool hasEndMarker = false;
     };
-    http_call makeModelRequest(const traffic_stream& stream, const std::string& prompt) const;
+    http_request makeModelRequest(const traffic_stream& stream, const std::string& prompt) const;
     /// Reads and parses the next chunk; false at the end of the response.
     task_of<bool> readChunk(http_client& client, streamed_response& response, request_outcome& outcome);
     void validateResponse(const streamed_response& response, bool connectionComplete, const planned_request& request, request_outcome& outcome) const;
--- a/Source/replication/document_replica_storage.cpp
+++ b/Source/replication/document_replica_storage.cpp
@@ -35,7 +35,7 @@
     m_self = start.self;
     auto initialVoters = start.initialVoters;
     loadSnapshot(start.restored.snapshot);
-    m_host.emplace(raft_core(m_self, raftSettings(), freshIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
+    m_host.emplace(raft_core(m_self, raftSettings(), generateIncarnation(), std::move(start.restored), m_clock.now()), std::move(store), effects());
     if (initialVoters.voters_size() > 0) {
         core().bootstrap(initialVoters);
         logEvent("log_founded", { { "voters", initialVoters.voters_size() } });
--- a/Tests/Platform/fake_endpoint.cpp
+++ b/Tests/Platform/fake_endpoint.cpp
@@ -23,7 +23,7 @@
     , m_service(std::move(service))
     , m_stage(std::move(stage))
     , m_server(
-          m_threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_refusal { httpStatus(why), "", "", {} }; })
+          m_threads, {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_error_response { httpStatus(why), "", "", {} }; })
 {
     auto listened = m_server.listen(address);
     if (!listened)
@@ -126,7 +126,7 @@
     for (auto i = first; i < eventsPerStream; ++i) {
         if (mode == fake_endpoint_mode::AbortMidStream && first == 0 && i == 2) {
             std::string partialEvent = fmt::format("id: {}\nda", i);
-            co_await exchange.writePiece(partialEvent);
+            co_await exchange.writeChunk(partialEvent);
             exchange.abortStream();
             co_return;
         }
@@ -135,7 +135,7 @@
             co_await pause.async_wait(boost::asio::use_awaitable);
         }
         std::string event = fmt::format("id: {}\ndata: piece {}\n\n", i, i);
-        bool written = co_await exchange.writePiece(event);
+        bool written = co_await exchange.writeChunk(event);
         if (!written)
             co_return;
         pause.expires_after(m_delay.load());
