--- a/Source/coordination/control_link.cpp
+++ b/Source/coordination/control_link.cpp
@@ -333,11 +333,11 @@
     wire::envelope message;
     auto& release = *message.mutable_engine_release();
     release.set_call_id(attempt.callId);
-    release.set_generated(attempt.figures.generatedTokens);
-    release.set_generating_ms(static_cast<std::uint32_t>(attempt.figures.generationTime.count()));
-    release.set_read_tokens(attempt.figures.prefillTokens);
-    release.set_reading_ms(static_cast<std::uint32_t>(attempt.figures.prefillTime.count()));
-    release.set_first_event_ms(static_cast<std::uint32_t>(attempt.figures.firstEventDelay.count()));
+    release.set_generated(attempt.measurements.generatedTokens);
+    release.set_generating_ms(static_cast<std::uint32_t>(attempt.measurements.generationTime.count()));
+    release.set_read_tokens(attempt.measurements.prefillTokens);
+    release.set_reading_ms(static_cast<std::uint32_t>(attempt.measurements.prefillTime.count()));
+    release.set_first_event_ms(static_cast<std::uint32_t>(attempt.measurements.firstEventDelay.count()));
     for (const auto& id : attempt.outcomes.succeeded)
         release.add_succeeded(id);
     for (const auto& id : attempt.outcomes.failed)
--- a/Source/coordination/control_link.h
+++ b/Source/coordination/control_link.h
@@ -39,7 +39,7 @@
 
 struct finished_attempt {
     std::uint64_t callId = 0;
-    call_measurements figures;
+    call_measurements measurements;
     engine_outcomes outcomes;
 };
 
--- a/Source/coordination/entry_coordinator_plans.cpp
+++ b/Source/coordination/entry_coordinator_plans.cpp
@@ -95,8 +95,8 @@
     if (session == m_entries.end())
         return;
     const auto& release = message.engine_release();
-    call_measurements figures { release.generated(), milliseconds(release.generating_ms()), release.read_tokens(), milliseconds(release.reading_ms()), milliseconds(release.first_event_ms()) };
-    m_planner.release(session->second.name, release.call_id(), figures);
+    call_measurements measurements { release.generated(), milliseconds(release.generating_ms()), release.read_tokens(), milliseconds(release.reading_ms()), milliseconds(release.first_event_ms()) };
+    m_planner.release(session->second.name, release.call_id(), measurements);
     for (const auto& id : release.succeeded())
         m_planner.recordSuccess(id);
     for (const auto& id : release.failed())
--- a/Source/coordination/request_blocks.cpp
+++ b/Source/coordination/request_blocks.cpp
@@ -11,34 +11,34 @@
 
 std::uint32_t request_blocks::addSuspectedCrash(const wire::crash_report& report, time_point now)
 {
-    m_suspects.recordCrash(report, now);
+    m_crashTracker.recordCrash(report, now);
     refresh(now);
-    return m_suspects.countsByFingerprint()[report.fingerprint()].total();
+    return m_crashTracker.countsByFingerprint()[report.fingerprint()].total();
 }
 
 void request_blocks::onReport(const wire::endpoint_report& report, time_point now)
 {
-    if (m_suspects.empty())
+    if (m_crashTracker.empty())
         return;
     if (report.state() == wire::ENDPOINT_GONE)
-        m_suspects.onShutdown(report.id());
+        m_crashTracker.onShutdown(report.id());
     else
-        m_suspects.onAnnounced(report.id(), report.born_ms(), now);
+        m_crashTracker.onAnnounced(report.id(), report.born_ms(), now);
     refresh(now);
 }
 
 void request_blocks::updateFromDirectory(const endpoint_directory& directory, time_point now)
 {
-    for (const auto& [id, suspectedAt] : m_suspects.suspectedEndpoints()) {
+    for (const auto& [id, suspectedAt] : m_crashTracker.suspectedEndpoints()) {
         const auto* row = directory.find(id);
         // ENDPOINT_GONE in a report removes the suspicion, so a suspected endpoint that is gone was replaced by another run.
         bool gone = !row || row->report().state() == wire::ENDPOINT_GONE;
         bool silent = row && row->silent() && now - suspectedAt > m_settings.silentAfter;
         if (gone || silent)
-            m_suspects.onSilent(id);
+            m_crashTracker.onSilent(id);
     }
-    m_suspects.expire(m_settings.crashLifetime, now);
-    if (!m_suspects.empty() || m_blocks.requests_size() > 0)
+    m_crashTracker.expire(m_settings.crashLifetime, now);
+    if (!m_crashTracker.empty() || m_blocks.requests_size() > 0)
         refresh(now);
 }
 
@@ -53,14 +53,14 @@
 
 void request_blocks::clear()
 {
-    m_suspects = crash_tracker();
+    m_crashTracker = crash_tracker();
     m_certain.clear();
     refresh({});
 }
 
 void request_blocks::refresh(time_point now)
 {
-    auto counts = m_suspects.countsByFingerprint();
+    auto counts = m_crashTracker.countsByFingerprint();
     for (const auto& [fingerprint, count] : counts) {
         if (count.certain >= crash_tracker::crashesToBlock)
             m_certain.try_emplace(fingerprint, now + m_settings.blockLifetime);
--- a/Source/coordination/request_blocks.h
+++ b/Source/coordination/request_blocks.h
@@ -44,7 +44,7 @@
     void refresh(time_point now);
 
     block_settings m_settings;
-    crash_tracker m_suspects;
+    crash_tracker m_crashTracker;
     /// Expiry times of certain blocks, by fingerprint.
     std::map<std::uint64_t, time_point> m_certain;
     wire::blocked_requests m_blocks;
--- a/Source/forwarding/call_forwarder_common.h
+++ b/Source/forwarding/call_forwarder_common.h
@@ -74,10 +74,10 @@
         m_callerGone = true;
         closeCurrentConnection();
     });
-    auto verdict = co_await acquireTokens();
-    if (!verdict.granted && !isAborted()) {
-        auto cause = verdict.overRate ? reason::OverRate : reason::LimitUnreachable;
-        error_response error { cause, httpStatus(cause), std::max(verdict.retryAfter, forwarding_detail::minRateRetryAfter) };
+    auto decision = co_await acquireTokens();
+    if (!decision.granted && !isAborted()) {
+        auto cause = decision.overRate ? reason::OverRate : reason::LimitUnreachable;
+        error_response error { cause, httpStatus(cause), std::max(decision.retryAfter, forwarding_detail::minRateRetryAfter) };
         co_await sendErrorResponse(error);
     } else if (!isAborted()) {
         auto& service = chooseService(*m_route, std::uniform_real_distribution<double>()(m_shared.random));
@@ -192,8 +192,8 @@
     auto timeout = std::min(m_route->latencyTarget / forwarding_detail::tokenTimeoutDivisor, timeLeft());
     pending_reply<token_decision> reply(m_shared.context.get_executor());
     m_shared.tokenLimiter.acquire(*m_organisation, forwarding_detail::tokenCost(*m_organisation, m_metadata), timeout, reply.completer());
-    auto verdict = co_await reply.wait(timeLeft());
-    co_return verdict.value_or(token_decision {});
+    auto decision = co_await reply.wait(timeLeft());
+    co_return decision.value_or(token_decision {});
 }
 
 template <call_codec Codec>
--- a/Source/forwarding/call_forwarder_models.h
+++ b/Source/forwarding/call_forwarder_models.h
@@ -161,12 +161,12 @@
     if (planned)
         co_return planned;
     // Without a leader, or if the plan names an endpoint that this entry doesn't know yet, the entry selects itself.
-    auto giveUpAt = m_shared.clock.now() + m_route->latencyTarget * forwarding_detail::unplannedTimeoutTenths / 10;
+    auto waitDeadline = m_shared.clock.now() + m_route->latencyTarget * forwarding_detail::unplannedTimeoutTenths / 10;
     while (!isAborted()) {
         auto decode = m_shared.endpoints.select(makeDecodeQuery());
         if (decode && canPrefillSoon(*decode))
             co_return model_placement { *decode, std::nullopt, false, m_callId };
-        if (m_shared.clock.now() >= giveUpAt)
+        if (m_shared.clock.now() >= waitDeadline)
             break;
         // Endpoints tried before may be available again: their queues drain while this call waits.
         m_triedEndpoints.clear();
--- a/Source/membership/endpoint_table.cpp
+++ b/Source/membership/endpoint_table.cpp
@@ -7,12 +7,12 @@
 
 announcement_effect endpoint_table::applyAnnouncement(const wire::endpoint_announcement& announcement, milliseconds age, time_point now)
 {
-    auto lastHeard = now - age;
+    auto lastContact = now - age;
     auto found = m_rows.find(announcement.id());
     if (found == m_rows.end()) {
         if (age >= endpointTimeout)
             return announcement_effect::Stale;
-        m_rows.emplace(announcement.id(), row { announcement, lastHeard, true, {} });
+        m_rows.emplace(announcement.id(), row { announcement, lastContact, true, {} });
         return announcement_effect::Joined;
     }
     auto& known = found->second;
@@ -21,8 +21,8 @@
         return announcement_effect::Stale;
     bool restarted = announcement.incarnation() != known.announcement.incarnation();
     bool wasAlive = known.alive;
-    bool endsSuspension = restarted || lastHeard - known.suspendedAt > maxAnnouncementDelay;
-    known = { announcement, std::max(lastHeard, known.lastHeard), true, endsSuspension ? time_point() : known.suspendedAt };
+    bool endsSuspension = restarted || lastContact - known.suspendedAt > maxAnnouncementDelay;
+    known = { announcement, std::max(lastContact, known.lastContact), true, endsSuspension ? time_point() : known.suspendedAt };
     if (announcement.leaving())
         return announcement_effect::Leaving;
     if (restarted)
@@ -41,12 +41,12 @@
 {
     std::vector<std::string> expired;
     for (auto& [id, endpoint] : m_rows) {
-        if (endpoint.alive && now - endpoint.lastHeard > endpointTimeout) {
+        if (endpoint.alive && now - endpoint.lastContact > endpointTimeout) {
             endpoint.alive = false;
             expired.push_back(id);
         }
     }
-    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.lastHeard > endpointRetention; });
+    std::erase_if(m_rows, [now](const auto& item) { return now - item.second.lastContact > endpointRetention; });
     return expired;
 }
 
--- a/Source/membership/endpoint_table.h
+++ b/Source/membership/endpoint_table.h
@@ -45,7 +45,7 @@
 private:
     struct row {
         wire::endpoint_announcement announcement;
-        time_point lastHeard;
+        time_point lastContact;
         bool alive = true;
         /// When the connection broke; the epoch if the endpoint is not suspended.
         time_point suspendedAt {};
