--- a/Tests/Callers/CallerSessionTest.cpp
+++ b/Tests/Callers/CallerSessionTest.cpp
@@ -43,7 +43,7 @@
     std::string session;
     auto key = where.key("alpha");
     auto send = [&](const std::string& title, const std::string& request, int answers = 1) {
-        session += "# " + title + "\n" + exchangeRaw(where.callers(1), request, answers) + "\n\n";
+        session += "# " + title + "\n" + exchangeRaw(where.callerAddress(1), request, answers) + "\n\n";
     };
     auto post = [&](const std::string& path, const std::string& body, const std::string& extra = "Content-Type: application/json\r\n") {
         return fmt::format("POST {} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\n{}Content-Length: {}\r\n\r\n{}", path, key, extra, body.size(), body);
@@ -99,7 +99,7 @@
     std::vector<asio::ip::tcp::socket> sockets;
     for (int i = 0; i < 50; ++i) {
         sockets.emplace_back(context);
-        sockets.back().connect(parseAddress(where.callers(1)));
+        sockets.back().connect(parseAddress(where.callerAddress(1)));
         if (i % 2 == 0)
             asio::write(sockets.back(), asio::buffer(std::string("POST /v1/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\n{\"mod")));
     }
--- a/Tests/Platform/PlatformSessionTest.cpp
+++ b/Tests/Platform/PlatformSessionTest.cpp
@@ -21,7 +21,7 @@
     {
     }
 
-    simple_answer call(const std::string& title, const std::string& method, const std::string& target, http_headers headers = {}, const std::string& body = {}, bool withKey = true)
+    simple_response call(const std::string& title, const std::string& method, const std::string& target, http_headers headers = {}, const std::string& body = {}, bool withKey = true)
     {
         headers.emplace_back("Host", "h.example");
         headers.emplace_back(platform_names::requestId, fmt::format("id-{}", ++m_number));
@@ -186,7 +186,7 @@
         where.control(n).kill();
     for (int n = 1; n <= 3; ++n)
         where.startControl(n, false);
-    simple_answer held;
+    simple_response held;
     REQUIRE(eventually([&] {
         held = where.call(where.controlAddress(2), "GET", platform_names::configurationPath);
         return held.status == 200;
@@ -205,7 +205,7 @@
     REQUIRE(where.submit(exampleConfiguration(7)) == 200);
     REQUIRE(where.report(decode).status == 200);
     REQUIRE(eventually([&] { return where.entryReady(1); }));
-    simple_answer answer;
+    simple_response answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = where.call(where.entryAddress(1), "POST", "/once/x", headers, "the prompt");
@@ -231,7 +231,7 @@
     REQUIRE(where.submit(exampleConfiguration(7)) == 200);
     REQUIRE(where.report(decode).status == 200);
     REQUIRE(eventually([&] { return where.entryReady(1); }));
-    simple_answer answer;
+    simple_response answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = where.call(where.entryAddress(1), "POST", "/report/x", headers, "the prompt");
--- a/Tests/Platform/PoisonRequestTest.cpp
+++ b/Tests/Platform/PoisonRequestTest.cpp
@@ -40,7 +40,7 @@
         m_reporter.join();
     }
 
-    simple_answer ask(int entry, const std::string& path, const std::string& body)
+    simple_response ask(int entry, const std::string& path, const std::string& body)
     {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, fmt::format("id-{}", ++m_requests) },
             { platform_names::tokenUsage, "500,432" }, { platform_names::deadlineMs, "5000" } };
--- a/Tests/Platform/StorageFaultTest.cpp
+++ b/Tests/Platform/StorageFaultTest.cpp
@@ -33,7 +33,7 @@
         while (std::chrono::steady_clock::now() < end) {
             confirmed += fleet.report(app, "ready", control).status == 200 ? 1 : 0;
             for (int n = 1; n <= fleet.controls(); ++n)
-                REQUIRE(fleet.control(n).running());
+                REQUIRE(fleet.control(n).isRunning());
             std::this_thread::sleep_for(look);
         }
         return confirmed;
--- a/Tests/Platform/StreamEndTest.cpp
+++ b/Tests/Platform/StreamEndTest.cpp
@@ -24,7 +24,7 @@
         REQUIRE(eventually([&] { return platform.entryReady(1); }));
     }
 
-    simple_answer stream(const std::string& path, const std::string& id, milliseconds deadline = milliseconds(6000)) const
+    simple_response stream(const std::string& path, const std::string& id, milliseconds deadline = milliseconds(6000)) const
     {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, id },
             { platform_names::tokenUsage, "500,432" }, { platform_names::deadlineMs, std::to_string(deadline.count()) } };
@@ -57,7 +57,7 @@
     single_engine_fleet fleet;
     std::string path = GENERATE("/report/x", "/once/x");
     fleet.decode.setMode(runner_mode::StandStill);
-    simple_answer answer;
+    simple_response answer;
     std::thread caller([&] { answer = fleet.stream(path, "one"); });
     CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
     for (std::uint64_t version = 8; version <= 11; ++version) {
@@ -88,7 +88,7 @@
     {
         fleet.decode.setMode(runner_mode::BreakMidway);
         fleet.decode.setPace(milliseconds(300));
-        simple_answer answer;
+        simple_response answer;
         std::thread caller([&] { answer = fleet.stream("/report/x", "one"); });
         CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
         CHECK(fleet.platform.report(fleet.decode, "draining").status == 200);
@@ -110,7 +110,7 @@
         REQUIRE(fleet.platform.submit(longTimeoutConfiguration) == 200);
         REQUIRE(eventually([&] { return readFile(fleet.platform.folder() + "/entry-1.out").find("event=configuration_applied version=8 ") != std::string::npos; }));
         fleet.decode.setPace(milliseconds(2500));
-        simple_answer answer;
+        simple_response answer;
         std::thread caller([&] { answer = fleet.stream("/once/x", "one", milliseconds(60000)); });
         CHECK(eventually([&] { return !fleet.decode.runs().empty(); }));
         fleet.platform.entry(1).signal(SIGTERM);
--- a/Tests/Platform/platform_fleet.cpp
+++ b/Tests/Platform/platform_fleet.cpp
@@ -104,11 +104,11 @@
     std::filesystem::create_directories(folder);
 }
 
-simple_answer platform_fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers,
+simple_response platform_fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers,
     const std::string& body, milliseconds timeout) const
 {
     boost::asio::io_context context;
-    simple_answer answer;
+    simple_response answer;
     auto work = [&]() -> task_of<void> {
         http_call call { method, target, headers, body };
         auto got = co_await http_client::fetch(address, call, milliseconds(1000), timeout);
@@ -122,14 +122,14 @@
     return answer;
 }
 
-simple_answer platform_fleet::report(stand_in_runner& runner, const std::string& state, int control) const
+simple_response platform_fleet::report(stand_in_runner& runner, const std::string& state, int control) const
 {
     return call(controlAddress(control), "PUT", platform_names::endpointsPath + runner.id(), { { "Content-Type", "application/json" } }, runner.report(state), milliseconds(2000));
 }
 
 unsigned platform_fleet::submit(const std::string& body) const
 {
-    simple_answer answer;
+    simple_response answer;
     eventually([&] {
         for (int n = 1; n <= m_controlCount && answer.status != 200; ++n)
             answer = call(controlAddress(n), "PUT", platform_names::configurationPath, { { "Content-Type", "application/json" } }, body, milliseconds(1500));
--- a/Tests/Platform/platform_fleet.h
+++ b/Tests/Platform/platform_fleet.h
@@ -36,10 +36,10 @@
     /// Empties a control's data folder. Precondition: it does not run.
     void wipeControl(int n) const;
     /// One whole exchange; broken when no whole answer came.
-    simple_answer call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
+    simple_response call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
         const std::string& body = {}, milliseconds timeout = milliseconds(20000)) const;
     /// Has an endpoint report itself to a control.
-    simple_answer report(stand_in_runner& runner, const std::string& state = "ready", int control = 1) const;
+    simple_response report(stand_in_runner& runner, const std::string& state = "ready", int control = 1) const;
     /// Submits a configuration, again until it is acknowledged. Returns the last status.
     unsigned submit(const std::string& body) const;
     bool entryReady(int n) const;
--- a/Tests/Promises/AtMostOnceTest.cpp
+++ b/Tests/Promises/AtMostOnceTest.cpp
@@ -8,9 +8,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape slowServices()
+fleet_options slowServices()
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.endpointLines = "service_ms = 400\n";
     return shape;
 }
@@ -22,7 +22,7 @@
 {
     fleet where(slowServices());
     where.start();
-    std::vector<std::future<simple_answer>> copies;
+    std::vector<std::future<simple_response>> copies;
     for (int i = 0; i < 9; ++i)
         copies.push_back(std::async(std::launch::async, [&where, i] { return where.book(i % 3 + 1, "hire-7", R"({"kit":7})"); }));
     for (auto& copy : copies) {
@@ -85,7 +85,7 @@
     CHECK(resent.status == 409);
     CHECK(where.stat("orderdesk-1", "service_runs") == 1);
     // A read may be repeated: while one endpoint restarts, another answers.
-    auto read = where.call(where.callers(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
+    auto read = where.call(where.callerAddress(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
     CHECK(read.status == 200);
 }
 
@@ -95,14 +95,14 @@
     fleet where({});
     where.start();
     for (const char* endpoint : { "orderdesk-1", "orderdesk-2" })
-        where.fault(endpoint, R"({"leaving":true})");
+        where.setFaults(endpoint, R"({"leaving":true})");
     REQUIRE(eventually([&] { return where.command({ "status" }).out.find("shard=service:orderdesk policy=reserve endpoints=0 ") != std::string::npos; }));
     auto refused = where.book(1, "hire-12", "{}");
     CHECK(refused.status == 503);
     CHECK(refused.body.find("\"run\":\"not_run\"") != std::string::npos);
     CHECK(refused.header("Retry-After") != "");
     CHECK(where.stat("orderdesk-1", "service_runs") == 0);
-    where.fault("orderdesk-1", "{}");
+    where.setFaults("orderdesk-1", "{}");
     CHECK(eventually([&] { return where.book(2, "hire-12", "{}").status == 200; }));
     CHECK(where.stat("orderdesk-1", "service_runs") == 1);
 }
--- a/Tests/Promises/ConfigTest.cpp
+++ b/Tests/Promises/ConfigTest.cpp
@@ -15,10 +15,10 @@
 }
 
 /// Submits as another operator, straight to a control VM.
-simple_answer submitAs(const fleet& where, int control, const std::string& token, int version, int rate)
+simple_response submitAs(const fleet& where, int control, const std::string& token, int version, int rate)
 {
     auto body = fmt::format(R"({{"records":[{{"kind":"limit","name":"alpha","version":{},"schema_version":1,"body":{{"rate":{},"burst":1000000}}}}]}})", version, rate);
-    return where.call(where.operators(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
+    return where.call(where.operatorAddress(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
 }
 }
 
@@ -44,7 +44,7 @@
 // as the one in force; the others go on, and it catches up when it is back.
 TEST_CASE("An isolated control VM neither accepts nor shows old state", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.proxied = true;
     fleet where(shape);
     where.start();
@@ -54,11 +54,11 @@
     INFO(applied.out << applied.err);
     CHECK(applied.code == 0);
     CHECK(submitAs(where, isolated, "test-token", 2, 1).status == 503);
-    auto read = where.call(where.operators(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
+    auto read = where.call(where.operatorAddress(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
     CHECK(read.status == 503);
     auto term = where.status("term");
     where.proxy().isolate(where.ip(isolated), false);
-    CHECK(eventually([&] { return where.call(where.operators(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && where.ready(where.entryAdmin(isolated)); }));
+    CHECK(eventually([&] { return where.call(where.operatorAddress(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && where.isReady(where.entryAdminAddress(isolated)); }));
     // Coming back it deposes nobody.
     CHECK(where.status("term") == term);
     CHECK(where.command({ "get", "limit", "alpha" }).out.find("rate = 700000") != std::string::npos);
@@ -78,9 +78,9 @@
         REQUIRE(submitAs(where, leader, "test-token", version, 400000 + version).status == 200);
     where.startControl(follower);
     where.startEntry(2);
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(2)); }));
+    CHECK(eventually([&] { return where.isReady(where.entryAdminAddress(2)); }));
     auto revision = where.status("revision");
-    CHECK(eventually([&] { return where.metric(where.entryAdmin(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
+    CHECK(eventually([&] { return where.metric(where.entryAdminAddress(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
     // The one that was away carries the state now: the leader goes, and the log needs its vote.
     where.control(leader).kill();
     auto got = where.command({ "get", "limit", "alpha" });
--- a/Tests/Promises/ControlStorageTest.cpp
+++ b/Tests/Promises/ControlStorageTest.cpp
@@ -27,7 +27,7 @@
 // Guards against a control process that ends, again and again, for as long as its disk is full.
 TEST_CASE("Control whose disk is full runs on and takes part again once there is room", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     fleet where(shape);
     where.start();
     int full = where.leader();
@@ -35,7 +35,7 @@
     where.control(full).refuseWrites(true);
     CHECK(where.command({ "apply", limitFile(where, 1) }).code == 0);
     // Longer than a supervisor leaves a process that ended before it starts it again.
-    CHECK_FALSE(eventually([&] { return !where.control(full).running(); }, std::chrono::seconds(5)));
+    CHECK_FALSE(eventually([&] { return !where.control(full).isRunning(); }, std::chrono::seconds(5)));
     where.control(full).refuseWrites(false);
     int other = full % 3 + 1;
     where.control(other).kill();
@@ -48,7 +48,7 @@
 // Guards against a control process that exits at every start because its data folder is damaged.
 TEST_CASE("Control with a damaged data folder runs on and joins as a new replica once the folder is empty", "[promise]")
 {
-    fleet where(fleet_shape {});
+    fleet where(fleet_options {});
     where.start();
     int leader = where.leader();
     REQUIRE(leader > 0);
@@ -57,7 +57,7 @@
     where.control(damaged).kill();
     std::ofstream(where.dataFolder(damaged) + "/hard_state", std::ios::binary) << "damaged";
     where.startControl(damaged);
-    CHECK_FALSE(eventually([&] { return !where.control(damaged).running(); }, std::chrono::seconds(5)));
+    CHECK_FALSE(eventually([&] { return !where.control(damaged).isRunning(); }, std::chrono::seconds(5)));
     CHECK(where.command({ "apply", limitFile(where, 1) }).code == 0);
     auto before = membershipChanges(where, leader);
     for (const auto& file : std::filesystem::directory_iterator(where.dataFolder(damaged)))
--- a/Tests/Promises/DoubleFaultsTest.cpp
+++ b/Tests/Promises/DoubleFaultsTest.cpp
@@ -10,9 +10,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape fiveControls()
+fleet_options fiveControls()
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.controls = 5;
     shape.disks = 3;
     return shape;
@@ -61,7 +61,7 @@
     where.entry(1).kill();
     CHECK(booking.get().status == 200);
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 110));
     CHECK(where.book(2, "hire-1", "{}").header("Idempotent-Replay") == "true");
     CHECK(where.stat("orderdesk-1", "service_runs") == 1);
@@ -84,7 +84,7 @@
     CHECK(where.command({ "apply", limitFile(where, 1, 540000) }).code == 0);
     where.startControl(restarted);
     where.startEntry(2);
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(2)); }));
+    CHECK(eventually([&] { return where.isReady(where.entryAdminAddress(2)); }));
     where.proxy().isolate(where.ip(cutOff), false);
     CHECK(eventually([&] {
         auto text = where.command({ "status" }).out;
@@ -112,13 +112,13 @@
     for (int n = 1; n <= 5; ++n)
         where.proxy().setRule(where.ip(1), where.ip(n), { .cut = n != 1 });
     // Control on VM 1 is as mute as its entry; the rest elects a leader if it led.
-    CHECK(eventually([&] { return !where.ready(where.entryAdmin(1)); }));
+    CHECK(eventually([&] { return !where.isReady(where.entryAdminAddress(1)); }));
     auto refused = where.complete(1, "hello", 5);
     CHECK(refused.status == 503);
     CHECK(refused.body.find("no_config") != std::string::npos);
     CHECK(where.complete(2, "hello", 5).status == 200);
     for (int n = 1; n <= 5; ++n)
         where.proxy().setRule(where.ip(1), where.ip(n), {});
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(1)); }));
+    CHECK(eventually([&] { return where.isReady(where.entryAdminAddress(1)); }));
     CHECK(eventually([&] { return where.complete(1, "hello", 5).status == 200; }));
 }
--- a/Tests/Promises/HeldMemoryTest.cpp
+++ b/Tests/Promises/HeldMemoryTest.cpp
@@ -20,15 +20,15 @@
     where.start();
     bool cancelsGetLost = GENERATE(false, true);
     for (const char* endpoint : { "decode-1", "decode-2" })
-        where.fault(endpoint, cancelsGetLost ? R"({"lose_cancels":3})" : "{}");
+        where.setFaults(endpoint, cancelsGetLost ? R"({"lose_cancels":3})" : "{}");
     streaming_caller caller(where, 1, prompt, 100);
     REQUIRE(caller.readUntil(expectedToken(prompt, 3)));
     CHECK(where.statSum("held") > 0);
-    caller.leave();
+    caller.disconnect();
     CHECK(eventually([&] { return where.statSum("held") == 0; }));
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
     // Leaving is no fault of the engine: it is neither retried nor taken for a crash that keeps work away from it.
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
     CHECK(where.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos);
     // And its place is free again: the pool's books are back to zero.
     CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
@@ -37,13 +37,13 @@
 // The caller leaves while its long prompt is being computed: the connection is quiet, only its closing tells.
 TEST_CASE("A caller that leaves during the prefill frees the engine", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.endpointLines = "prefill_tokens_per_s = 10000\n";
     fleet where(shape);
     where.start();
     streaming_caller caller(where, 1, longPrompt, 100);
     REQUIRE(eventually([&] { return where.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
-    caller.leave();
+    caller.disconnect();
     CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
     CHECK(eventually([&] { return where.statSum("held") == 0 && where.statSum("prefills") >= 1; }));
     CHECK(where.statSum("batch") == 0);
--- a/Tests/Promises/KeysTest.cpp
+++ b/Tests/Promises/KeysTest.cpp
@@ -18,7 +18,7 @@
         : m_socket(m_context)
         , m_key(std::move(key))
     {
-        auto address = where.callers(entry);
+        auto address = where.callerAddress(entry);
         auto colon = address.find(':');
         m_socket.connect({ asio::ip::make_address_v4(address.substr(0, colon)), 8080 });
     }
@@ -69,7 +69,7 @@
 // its lease ends, and from then on it refuses all new work, and the withdrawal counts as in force only after that.
 TEST_CASE("A withdrawn key stops at an entry that is cut off", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.proxied = true;
     fleet where(shape);
     where.start();
@@ -83,7 +83,7 @@
     CHECK(withdrawn.out.find("in force everywhere") != std::string::npos);
     CHECK(caller.ask() == 503);
     where.proxy().isolate(where.ip(3), false);
-    CHECK(eventually([&] { return where.ready(where.entryAdmin(3)); }));
+    CHECK(eventually([&] { return where.isReady(where.entryAdminAddress(3)); }));
     CHECK(caller.ask() == 401);
 }
 
@@ -95,7 +95,7 @@
     CHECK(where.complete(1, "hello", 5).status == 200);
     CHECK(where.book(1, "b1", "{}").status == 200);
     http_headers headers { { "Authorization", "Bearer " + where.key("alpha") }, { "X-Api-Key", where.key("alpha") }, { "Cookie", where.key("alpha") } };
-    CHECK(where.call(where.callers(2), "GET", "/services/orderdesk/stock", headers, "").status == 200);
+    CHECK(where.call(where.callerAddress(2), "GET", "/services/orderdesk/stock", headers, "").status == 200);
     CHECK(where.stat("prefill-1", "key_seen") == 0);
 }
 
--- a/Tests/Promises/LeavingTest.cpp
+++ b/Tests/Promises/LeavingTest.cpp
@@ -17,10 +17,10 @@
     streaming_caller caller(where, 1, prompt, 100);
     REQUIRE(caller.readUntil(expectedToken(prompt, 1)));
     std::string leaving = where.stat("decode-1", "batch") > 0 ? "decode-1" : "decode-2";
-    where.fault(leaving, R"({"leaving":true})");
+    where.setFaults(leaving, R"({"leaving":true})");
     REQUIRE(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=3 ") != std::string::npos; }));
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 100));
     for (int i = 0; i < 6; ++i) {
         CHECK(where.complete(i % 3 + 1, "prompt " + std::to_string(i), 5).status == 200);
@@ -33,11 +33,11 @@
 {
     fleet where({});
     where.start();
-    where.fault("prefill-1", R"({"ignore_calls":true})");
+    where.setFaults("prefill-1", R"({"ignore_calls":true})");
     REQUIRE(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=3 ") != std::string::npos; }));
     for (int i = 0; i < 4; ++i)
         CHECK(where.complete(i % 3 + 1, "prompt " + std::to_string(i), 5).status == 200);
-    where.fault("prefill-1", "{}");
+    where.setFaults("prefill-1", "{}");
     CHECK(eventually([&] { return where.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos; }));
 }
 
@@ -45,7 +45,7 @@
 // work goes elsewhere, and the process exits by itself with code 0.
 TEST_CASE("A graceful shutdown of an entry cuts nothing", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.endpointLines = "service_ms = 500\n";
     fleet where(shape);
     where.start();
@@ -56,7 +56,7 @@
     REQUIRE(eventually([&] { return where.stat("orderdesk-1", "service_runs") == 1; }));
     where.entry(1).signal(SIGTERM);
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 100));
     CHECK(booking.get().status == 200);
     CHECK(where.entry(1).wait() == 0);
@@ -80,7 +80,7 @@
     CHECK(where.scheduler(owner).wait() == 0);
     CHECK(where.complete(2, "after the stop", 5).status == 200);
     where.startScheduler(owner);
-    REQUIRE(eventually([&] { return where.ready(where.schedulerAdmin(owner)); }));
+    REQUIRE(eventually([&] { return where.isReady(where.schedulerAdminAddress(owner)); }));
     where.scheduler(where.owner("model:advisor-llm")).kill();
     CHECK(where.complete(3, "after the kill", 5).status == 200);
     caller.readAll();
--- a/Tests/Promises/LimitsUnderFaultTest.cpp
+++ b/Tests/Promises/LimitsUnderFaultTest.cpp
@@ -89,7 +89,7 @@
         while (!m_stop) {
             admitted_call call;
             call.sent = std::chrono::steady_clock::now();
-            auto answer = where.call(where.callers(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
+            auto answer = where.call(where.callerAddress(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + where.key("alpha") } }, "");
             call.answered = std::chrono::steady_clock::now();
             if (answer.status != 200)
                 continue;
@@ -110,7 +110,7 @@
 TEST_CASE("Rate and burst hold over all VMs while the bucket changes owners", "[promise]")
 {
     auto faultKind = GENERATE(std::string("kill"), std::string("freeze"), std::string("cut"));
-    fleet_shape shape;
+    fleet_options shape;
     shape.records = records;
     shape.schedulers = 3;
     shape.proxied = faultKind == "cut";
@@ -137,7 +137,7 @@
             where.scheduler(victim).signal(SIGCONT);
         else
             where.proxy().isolate(where.ip(victim), false);
-        REQUIRE(eventually([&] { return where.ready(where.schedulerAdmin(victim)); }));
+        REQUIRE(eventually([&] { return where.isReady(where.schedulerAdminAddress(victim)); }));
     }
     traffic.stop();
     CHECK(traffic.worstExcess() <= 0);
--- a/Tests/Promises/OrdersTest.cpp
+++ b/Tests/Promises/OrdersTest.cpp
@@ -12,7 +12,7 @@
 TEST_CASE("Endpoints become what their records say, one load at a time", "[promise]")
 {
     bool fencing = GENERATE(true, false);
-    fleet_shape shape;
+    fleet_options shape;
     shape.prefill = 3;
     shape.endpointLines = fencing ? "" : "fencing = false\n";
     fleet where(shape);
--- a/Tests/Promises/PoisonTest.cpp
+++ b/Tests/Promises/PoisonTest.cpp
@@ -6,9 +6,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape manyPrefills()
+fleet_options manyPrefills()
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.prefill = 5;
     return shape;
 }
@@ -22,7 +22,7 @@
 
 /// Checks that a 503 during an ownership change is limit_unreachable or no_scheduler, reports not_run and has
 /// Retry-After.
-void checkOwnerChangeRefusal(const simple_answer& answer)
+void checkOwnerChangeRefusal(const simple_response& answer)
 {
     INFO(answer.body);
     bool changesOwner = answer.body.find("\"limit_unreachable\"") != std::string::npos || answer.body.find("\"no_scheduler\"") != std::string::npos;
@@ -87,7 +87,7 @@
     where.start();
     REQUIRE(where.complete(3, "a good request", 10).status == 200);
     where.scheduler(where.owner("model:advisor-llm")).kill();
-    simple_answer answer;
+    simple_response answer;
     CHECK(eventually([&] {
         answer = where.complete(3, "a good request", 10);
         if (answer.status == 503)
@@ -113,7 +113,7 @@
         REQUIRE(eventually([&] { return where.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
         for (int i = 0; i < 40; ++i) {
             for (int endpoint = 101; endpoint <= 105; ++endpoint)
-                where.proxy().breakAll(where.ip(endpoint - 10));
+                where.proxy().closeConnections(where.ip(endpoint - 10));
             std::this_thread::sleep_for(milliseconds(50));
         }
     });
--- a/Tests/Promises/WholeAnswersTest.cpp
+++ b/Tests/Promises/WholeAnswersTest.cpp
@@ -34,11 +34,11 @@
     where.start();
     streaming_caller caller(where, 1, prompt, 60);
     REQUIRE(caller.readUntil(expectedToken(prompt, 5)));
-    where.fault(decodeOf(where), R"({"crash":true})");
+    where.setFaults(decodeOf(where), R"({"crash":true})");
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 60));
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
 }
 
 // The engine sends every token twice, as after a reconnect of its own. The caller must see each index once.
@@ -47,7 +47,7 @@
     fleet where({});
     where.start();
     for (const char* endpoint : { "decode-1", "decode-2" })
-        where.fault(endpoint, R"({"duplicate_tokens":true})");
+        where.setFaults(endpoint, R"({"duplicate_tokens":true})");
     auto answer = where.complete(2, prompt, 40);
     CHECK(answer.status == 200);
     CHECK(answer.body.find(expectedText(prompt, 40)) != std::string::npos);
@@ -59,9 +59,9 @@
 {
     fleet where({});
     where.start();
-    where.fault("decode-1", R"({"lose_token":true})");
+    where.setFaults("decode-1", R"({"lose_token":true})");
     checkWholeAnswers(where, " hole ", 6, 30);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
 }
 
 // An engine mixes up two streams and sends another request's tokens. Nobody may read a neighbour's answer: the
@@ -70,23 +70,23 @@
 {
     fleet where({});
     where.start();
-    where.fault("decode-1", R"({"cross_answers":true})");
+    where.setFaults("decode-1", R"({"cross_answers":true})");
     checkWholeAnswers(where, "", 6, 30);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
 }
 
 // Every engine that could serve is gone mid-stream. A cut answer must not look whole: the caller gets an error event
 // and no end mark.
 TEST_CASE("An answer that can't be finished never looks whole", "[promise]")
 {
-    fleet_shape shape;
+    fleet_options shape;
     shape.decode = 1;
     fleet where(shape);
     where.start();
-    where.fault("decode-1", R"({"break_after_tokens":5})");
+    where.setFaults("decode-1", R"({"break_after_tokens":5})");
     streaming_caller caller(where, 1, prompt, 60);
     caller.readAll();
-    CHECK(!caller.whole());
+    CHECK(!caller.isComplete());
     CHECK(caller.received().find("\"run\":\"may_have_run\"") != std::string::npos);
     CHECK(caller.received().find("\r\n0\r\n\r\n") == std::string::npos);
 }
@@ -97,8 +97,8 @@
 {
     fleet where({});
     where.start();
-    where.fault("decode-1", R"({"stall_transfers":true})");
+    where.setFaults("decode-1", R"({"stall_transfers":true})");
     checkWholeAnswers(where, " stall ", 4, 20);
-    CHECK(where.metric(where.entryAdmin(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
+    CHECK(where.metric(where.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
     CHECK(eventually([&] { return where.statSum("held") == 0; }));
 }
--- a/Tests/Soak/soak_main.cpp
+++ b/Tests/Soak/soak_main.cpp
@@ -92,7 +92,7 @@
             pause(0, 400);
             injectOne();
             pause(0, 2500);
-            if (!m_fleet.control(full).running())
+            if (!m_fleet.control(full).isRunning())
                 m_checks.fail("a control ended while its disk was full");
             m_fleet.control(full).refuseWrites(false);
         }
@@ -159,7 +159,7 @@
                 rule.frozen = kind == 2;
                 rule.delay = milliseconds(kind == 3 ? 80 : 0);
                 if (kind == 4)
-                    m_proxy.breakAll(ip);
+                    m_proxy.closeConnections(ip);
                 m_proxy.setRule("", ip, rule);
                 pause(200, 1500);
                 m_proxy.setRule("", ip, {});
@@ -240,7 +240,7 @@
             http_headers headers { { "Host", "h.example" }, { platform_names::requestId, id }, { platform_names::deadlineMs, "3000" },
                 { platform_names::authorization, secondKey ? "Token key-2" : "Token key-1" } };
             auto sentAt = steady::now();
-            simple_answer answer;
+            simple_response answer;
             switch (random() % 4) {
             case 0:
                 answer = m_fleet.call(address, "GET", "/read/x", headers, {}, milliseconds(3000));
@@ -277,7 +277,7 @@
                 std::chrono::seconds(12));
             if (!served)
                 m_checks.fail("nothing was served 12 s after the last fault");
-            simple_answer read;
+            simple_response read;
             bool told = eventually([&] {
                 read = m_fleet.call(m_fleet.controlAddress(1), "GET", platform_names::configurationPath, {}, {}, milliseconds(1000));
                 return read.status == 200;
--- a/Tests/Support/child_process.cpp
+++ b/Tests/Support/child_process.cpp
@@ -53,7 +53,7 @@
     kill();
 }
 
-bool child_process::running()
+bool child_process::isRunning()
 {
     siginfo_t ended {};
     return m_pid > 0 && ::waitid(P_PID, static_cast<id_t>(m_pid), &ended, WEXITED | WNOHANG | WNOWAIT) == 0 && ended.si_pid == 0;
--- a/Tests/Support/child_process.h
+++ b/Tests/Support/child_process.h
@@ -14,7 +14,7 @@
     child_process(child_process&& other) noexcept;
     child_process& operator=(child_process&& other) noexcept;
 
-    bool running();
+    bool isRunning();
     /// Has every write to a file fail, as on a full disk, or succeed again. Output that goes to a file is lost meanwhile.
     /// Precondition: running.
     void refuseWrites(bool refuse) const;
--- a/Tests/Support/fault_proxy.cpp
+++ b/Tests/Support/fault_proxy.cpp
@@ -59,7 +59,7 @@
     m_isolated[ip] = cut;
 }
 
-void fault_proxy::breakAll(const std::string& listenIp)
+void fault_proxy::closeConnections(const std::string& listenIp)
 {
     asio::post(m_context, [this, listenIp] {
         for (auto& weak : m_tunnels) {
@@ -142,7 +142,7 @@
             co_await timer.async_wait(asTuple);
         }
         one->passed += toTarget ? 0 : bytes;
-        if (rule.breakAfterBytes > 0 && one->passed > rule.breakAfterBytes)
+        if (rule.closeAfterBytes > 0 && one->passed > rule.closeAfterBytes)
             break;
         auto [writeError, written] = co_await asio::async_write(to, asio::buffer(block.data(), bytes), asTuple);
         if (writeError)
--- a/Tests/Support/fault_proxy.h
+++ b/Tests/Support/fault_proxy.h
@@ -18,7 +18,7 @@
     bool frozen = false;
     std::chrono::milliseconds delay { 0 };
     /// Drop the connection after that many further bytes; 0 means never.
-    std::size_t breakAfterBytes = 0;
+    std::size_t closeAfterBytes = 0;
     /// What the link carries, shared by all connections to one listening IP, each way; 0 means without bound.
     std::size_t bytesPerSecond = 0;
 };
@@ -39,7 +39,7 @@
     /// Cuts everything between one IP and all others, both ways, and breaks nothing.
     void isolate(const std::string& ip, bool cut);
     /// Ends all connections through one listening IP.
-    void breakAll(const std::string& listenIp);
+    void closeConnections(const std::string& listenIp);
 
 private:
     struct tunnel;
--- a/Tests/Support/fleet.cpp
+++ b/Tests/Support/fleet.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-std::string simple_answer::header(const std::string& name) const
+std::string simple_response::header(const std::string& name) const
 {
     for (const auto& [key, value] : headers) {
         if (boost::beast::iequals(key, name))
@@ -73,7 +73,7 @@
     return condition();
 }
 
-fleet::fleet(fleet_shape shape)
+fleet::fleet(fleet_options shape)
     : m_shape(std::move(shape))
 {
     // A net of its own for each fleet: fixed ports then never meet another test's.
@@ -89,7 +89,7 @@
         m_proxy = std::make_unique<fault_proxy>();
     std::string operatorList;
     for (int n = 1; n <= m_shape.controls; ++n)
-        operatorList += "\"" + operators(n) + "\",";
+        operatorList += "\"" + operatorAddress(n) + "\",";
     file("operator.toml", fmt::format("controls = [{}]\ntoken = \"{}\"\n", operatorList, m_token));
 }
 
@@ -234,7 +234,7 @@
     return runToEnd(buildFolder + "/pistachiolatch", arguments, fmt::format("{}/command{}", m_folder, ++m_commands));
 }
 
-simple_answer fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout) const
+simple_response fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout) const
 {
     asio::io_context context;
     http_call given { method, target, headers, body };
@@ -245,18 +245,18 @@
     return { answer.status, answer.body, answer.headers, answer.failed != call_failure::None };
 }
 
-simple_answer fleet::complete(int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation) const
+simple_response fleet::complete(int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation) const
 {
     json::object body { { "model", "advisor-llm" }, { "prompt", prompt }, { "max_tokens", maxTokens } };
-    return call(callers(entry), "POST", "/v1/completions", { { "Authorization", "Bearer " + key(organisation) }, { "Content-Type", "application/json" } }, json::serialize(body));
+    return call(callerAddress(entry), "POST", "/v1/completions", { { "Authorization", "Bearer " + key(organisation) }, { "Content-Type", "application/json" } }, json::serialize(body));
 }
 
-simple_answer fleet::book(int entry, const std::string& bookingKey, const std::string& body, const std::string& organisation) const
+simple_response fleet::book(int entry, const std::string& bookingKey, const std::string& body, const std::string& organisation) const
 {
-    return call(callers(entry), "POST", "/services/orderdesk/reserve", { { "Authorization", "Bearer " + key(organisation) }, { "Idempotency-Key", bookingKey }, { "Content-Type", "application/json" } }, body);
+    return call(callerAddress(entry), "POST", "/services/orderdesk/reserve", { { "Authorization", "Bearer " + key(organisation) }, { "Idempotency-Key", bookingKey }, { "Content-Type", "application/json" } }, body);
 }
 
-void fleet::fault(const std::string& endpoint, const std::string& text) const
+void fleet::setFaults(const std::string& endpoint, const std::string& text) const
 {
     call(m_endpoints.at(endpoint), "POST", "/test", {}, text);
 }
@@ -296,7 +296,7 @@
     return text.substr(begin, text.find('\n', begin) - begin);
 }
 
-bool fleet::ready(const std::string& admin) const
+bool fleet::isReady(const std::string& admin) const
 {
     return call(admin, "GET", "/readyz", {}, "", milliseconds(1000)).status == 200;
 }
@@ -304,7 +304,7 @@
 int fleet::leader() const
 {
     for (int n = 1; n <= m_shape.controls; ++n) {
-        if (call(operators(n), "GET", "/v1/status", { { "Authorization", "Bearer " + m_token } }, "", milliseconds(1500)).status == 200)
+        if (call(operatorAddress(n), "GET", "/v1/status", { { "Authorization", "Bearer " + m_token } }, "", milliseconds(1500)).status == 200)
             return n;
     }
     return 0;
@@ -328,7 +328,7 @@
     json::object object { { "model", "advisor-llm" }, { "prompt", prompt }, { "max_tokens", maxTokens }, { "stream", true } };
     auto body = json::serialize(object);
     auto request = fmt::format("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{}", where.key(organisation), body.size(), body);
-    m_socket.connect(parseAddress(where.callers(entry)));
+    m_socket.connect(parseAddress(where.callerAddress(entry)));
     asio::write(m_socket, asio::buffer(request));
 }
 
@@ -361,7 +361,7 @@
     return text;
 }
 
-void streaming_caller::leave()
+void streaming_caller::disconnect()
 {
     boost::system::error_code ignored;
     m_socket.close(ignored);
--- a/Tests/Support/fleet.h
+++ b/Tests/Support/fleet.h
@@ -11,7 +11,7 @@
 namespace pistachiolatch::test {
 
 /// What a test wants to have around.
-struct fleet_shape {
+struct fleet_options {
     int entries = 3;
     int schedulers = 2;
     int controls = 3;
@@ -29,7 +29,7 @@
 };
 
 /// A caller's or endpoint's answer.
-struct simple_answer {
+struct simple_response {
     unsigned status = 0;
     std::string body;
     http_headers headers;
@@ -40,7 +40,7 @@
 /// A whole fleet of real processes on loopback addresses of its own.
 class fleet {
 public:
-    explicit fleet(fleet_shape shape);
+    explicit fleet(fleet_options shape);
     ~fleet();
     fleet(const fleet&) = delete;
     fleet& operator=(const fleet&) = delete;
@@ -54,12 +54,12 @@
     command_output command(std::vector<std::string> arguments);
     /// Writes a file into the fleet's folder and returns its path.
     std::string file(const std::string& name, const std::string& content) const;
-    simple_answer call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout = milliseconds(30000)) const;
+    simple_response call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout = milliseconds(30000)) const;
     /// A completion asked for at an entry.
-    simple_answer complete(int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation = "alpha") const;
-    simple_answer book(int entry, const std::string& key, const std::string& body, const std::string& organisation = "alpha") const;
+    simple_response complete(int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation = "alpha") const;
+    simple_response book(int entry, const std::string& key, const std::string& body, const std::string& organisation = "alpha") const;
     /// Switches faults of one endpoint; the JSON replaces earlier faults.
-    void fault(const std::string& endpoint, const std::string& json) const;
+    void setFaults(const std::string& endpoint, const std::string& json) const;
     std::int64_t stat(const std::string& endpoint, const std::string& name) const;
     /// The sum of a figure over all model endpoints.
     std::int64_t statSum(const std::string& name) const;
@@ -67,10 +67,10 @@
     std::string metric(const std::string& adminAddress, const std::string& line) const;
 
     std::string ip(int vm) const { return m_net + "." + std::to_string(10 + vm); }
-    std::string callers(int n) const { return ip(n) + ":8080"; }
-    std::string entryAdmin(int n) const { return ip(n) + ":9101"; }
-    std::string schedulerAdmin(int n) const { return ip(n) + ":9102"; }
-    std::string operators(int n) const { return ip(n) + ":8090"; }
+    std::string callerAddress(int n) const { return ip(n) + ":8080"; }
+    std::string entryAdminAddress(int n) const { return ip(n) + ":9101"; }
+    std::string schedulerAdminAddress(int n) const { return ip(n) + ":9102"; }
+    std::string operatorAddress(int n) const { return ip(n) + ":8090"; }
     const std::string& key(const std::string& organisation) const { return m_keys.at(organisation); }
     const std::string& token() const { return m_token; }
     std::string dataFolder(int n) const { return m_folder + "/data" + std::to_string(n); }
@@ -81,7 +81,7 @@
     int owner(const std::string& shard);
     /// One field of `status`, such as "revision".
     std::string status(const std::string& field);
-    bool ready(const std::string& admin) const;
+    bool isReady(const std::string& admin) const;
 
     child_process& entry(int n) { return m_entries[n]; }
     child_process& scheduler(int n) { return m_schedulers[n]; }
@@ -96,7 +96,7 @@
     void writeStandIn();
     void writeOne(const std::string& id, const std::string& role, const std::string& model, int number, std::string& text);
 
-    fleet_shape m_shape;
+    fleet_options m_shape;
     std::string m_net;
     std::string m_folder;
     std::string m_wireKeys;
@@ -126,8 +126,8 @@
     const std::string& received() const { return m_received; }
     /// The tokens received, in order, and whether the end mark came.
     std::string text() const;
-    bool whole() const { return m_received.find("data: [DONE]") != std::string::npos; }
-    void leave();
+    bool isComplete() const { return m_received.find("data: [DONE]") != std::string::npos; }
+    void disconnect();
 
 private:
     boost::asio::io_context m_context;
