--- a/Tests/Support/child_process.cpp
+++ b/Tests/Support/child_process.cpp
@@ -24,11 +24,11 @@
     m_pid = ::fork();
     if (m_pid != 0)
         return;
-    // A test that is killed takes its processes with it.
+    // The kernel kills this process when the test process dies.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     ::dup2(::open(out.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0600), STDOUT_FILENO);
     ::dup2(::open(err.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0600), STDERR_FILENO);
-    // A write beyond the limit on file sizes must fail as on a full disk, not end the process.
+    // A write beyond RLIMIT_FSIZE must fail, as on a full disk, instead of ending the process.
     ::signal(SIGXFSZ, SIG_IGN);
     ::execv(program.c_str(), argv.data());
     ::_exit(127);
@@ -63,10 +63,10 @@
 {
     rlimit limit {};
     if (::prlimit(m_pid, RLIMIT_FSIZE, nullptr, &limit) != 0)
-        throw std::runtime_error("can't read the limit of a process that this test started");
+        throw std::runtime_error("cannot read the file size limit of a child process");
     limit.rlim_cur = refuse ? 0 : limit.rlim_max;
     if (::prlimit(m_pid, RLIMIT_FSIZE, &limit, nullptr) != 0)
-        throw std::runtime_error("can't set the limit of a process that this test started");
+        throw std::runtime_error("cannot set the file size limit of a child process");
 }
 
 void child_process::signal(int number) const
--- a/Tests/Support/child_process.h
+++ b/Tests/Support/child_process.h
@@ -5,7 +5,7 @@
 
 namespace pistachiolatch::test {
 
-/// A program that a test started. Its output goes to files; it is killed when the test ends.
+/// A process that a test started, with its output in files. The destructor kills it.
 class child_process {
 public:
     child_process() = default;
@@ -15,28 +15,28 @@
     child_process& operator=(child_process&& other) noexcept;
 
     bool isRunning();
-    /// Has every write to a file fail, as on a full disk, or succeed again. Output that goes to a file is lost meanwhile.
+    /// Makes every write to a file fail, as on a full disk, or succeed again. Output to files is lost in the meantime.
     /// Precondition: running.
     void refuseWrites(bool refuse) const;
     /// Sends a signal. Precondition: running.
     void signal(int number) const;
-    /// Waits for its end and returns its exit code, or minus the signal that ended it.
+    /// Waits until the process exits. Returns its exit code, or the negated number of the signal that ended it.
     int wait();
-    /// Kills it and waits for its end.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
 
 private:
     pid_t m_pid = -1;
 };
 
-/// What a command printed and returned.
+/// The exit code and output of a command.
 struct command_output {
     int code = -1;
     std::string out;
     std::string err;
 };
 
-/// Runs a program to its end.
+/// Runs a program until it exits. Its output goes through files whose paths begin with scratchPrefix.
 command_output runToEnd(const std::string& program, const std::vector<std::string>& arguments, const std::string& scratchPrefix);
 
 std::string readFile(const std::string& path);
--- a/Tests/Support/fault_proxy.cpp
+++ b/Tests/Support/fault_proxy.cpp
@@ -9,17 +9,17 @@
 
 namespace {
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    constexpr std::chrono::milliseconds look { 10 };
-    /// What a throttled link carries at once.
-    constexpr std::size_t throttledBlock = 8UL * 1024;
+    constexpr std::chrono::milliseconds frozenPollInterval { 10 };
+    /// The most that is read at a time from a throttled link.
+    constexpr std::size_t throttledReadSize = 8UL * 1024;
 }
 
-struct fault_proxy::tunnel {
+struct fault_proxy::proxied_connection {
     tcp::socket caller;
     tcp::socket target;
     std::string callerIp;
     std::string listenIp;
-    std::size_t passed = 0;
+    std::size_t bytesToCaller = 0;
 
     void close()
     {
@@ -44,7 +44,7 @@
 void fault_proxy::forward(const std::string& listen, const std::string& target)
 {
     auto acceptor = std::make_shared<tcp::acceptor>(m_context, parseAddress(listen));
-    asio::co_spawn(m_context, acceptAll(acceptor, target), asio::detached);
+    asio::co_spawn(m_context, acceptConnections(acceptor, target), asio::detached);
 }
 
 void fault_proxy::setRule(const std::string& fromIp, const std::string& listenIp, link_rule rule)
@@ -62,9 +62,9 @@
 void fault_proxy::closeConnections(const std::string& listenIp)
 {
     asio::post(m_context, [this, listenIp] {
-        for (auto& weak : m_tunnels) {
-            if (auto one = weak.lock(); one && one->listenIp == listenIp)
-                one->close();
+        for (auto& weak : m_connections) {
+            if (auto connection = weak.lock(); connection && connection->listenIp == listenIp)
+                connection->close();
         }
     });
 }
@@ -77,63 +77,63 @@
         if (auto found = m_rules.find(key); found != m_rules.end())
             rule = found->second;
     }
-    auto apart = [&](const std::string& ip) {
+    auto isIsolated = [&](const std::string& ip) {
         auto found = m_isolated.find(ip);
         return found != m_isolated.end() && found->second;
     };
-    // A VM keeps reaching itself.
-    if (fromIp != listenIp && (apart(fromIp) || apart(listenIp)))
+    // An isolated VM can still reach itself.
+    if (fromIp != listenIp && (isIsolated(fromIp) || isIsolated(listenIp)))
         rule.cut = true;
     return rule;
 }
 
-asio::awaitable<void> fault_proxy::acceptAll(std::shared_ptr<tcp::acceptor> acceptor, std::string target)
+asio::awaitable<void> fault_proxy::acceptConnections(std::shared_ptr<tcp::acceptor> acceptor, std::string target)
 {
     auto listenIp = acceptor->local_endpoint().address().to_string();
     while (true) {
         auto [error, socket] = co_await acceptor->async_accept(asTuple);
         if (error)
             co_return;
-        auto one = std::make_shared<tunnel>(tunnel { std::move(socket), tcp::socket(m_context), "", listenIp });
-        one->callerIp = one->caller.remote_endpoint().address().to_string();
-        auto [connectError] = co_await one->target.async_connect(parseAddress(target), asTuple);
+        auto connection = std::make_shared<proxied_connection>(proxied_connection { std::move(socket), tcp::socket(m_context), "", listenIp });
+        connection->callerIp = connection->caller.remote_endpoint().address().to_string();
+        auto [connectError] = co_await connection->target.async_connect(parseAddress(target), asTuple);
         if (connectError)
             continue;
-        std::erase_if(m_tunnels, [](const auto& weak) { return weak.expired(); });
-        m_tunnels.push_back(one);
-        asio::co_spawn(m_context, pump(one, true), asio::detached);
-        asio::co_spawn(m_context, pump(one, false), asio::detached);
+        std::erase_if(m_connections, [](const auto& weak) { return weak.expired(); });
+        m_connections.push_back(connection);
+        asio::co_spawn(m_context, forwardBytes(connection, true), asio::detached);
+        asio::co_spawn(m_context, forwardBytes(connection, false), asio::detached);
     }
 }
 
-std::chrono::steady_clock::time_point fault_proxy::carriedAt(const tunnel& one, bool toTarget, std::size_t bytes, std::size_t bytesPerSecond)
+std::chrono::steady_clock::time_point fault_proxy::transmissionEnd(const proxied_connection& connection, bool toTarget, std::size_t bytes, std::size_t bytesPerSecond)
 {
-    auto& busyUntil = m_busyUntil[{ one.listenIp, toTarget }];
+    auto& busyUntil = m_busyUntil[{ connection.listenIp, toTarget }];
     auto takes = std::chrono::microseconds(bytes * 1'000'000 / bytesPerSecond);
     busyUntil = std::max(busyUntil, std::chrono::steady_clock::now()) + takes;
     return busyUntil;
 }
 
-asio::awaitable<void> fault_proxy::pump(std::shared_ptr<tunnel> one, bool toTarget)
+asio::awaitable<void> fault_proxy::forwardBytes(std::shared_ptr<proxied_connection> connection, bool toTarget)
 {
-    auto& from = toTarget ? one->caller : one->target;
-    auto& to = toTarget ? one->target : one->caller;
+    auto& from = toTarget ? connection->caller : connection->target;
+    auto& to = toTarget ? connection->target : connection->caller;
     asio::steady_timer timer(m_context);
     std::vector<char> block(64UL * 1024);
     while (true) {
-        bool throttled = ruleFor(one->callerIp, one->listenIp).bytesPerSecond > 0;
-        auto [error, bytes] = co_await from.async_read_some(asio::buffer(block.data(), throttled ? throttledBlock : block.size()), asTuple);
+        bool throttled = ruleFor(connection->callerIp, connection->listenIp).bytesPerSecond > 0;
+        auto [error, bytes] = co_await from.async_read_some(asio::buffer(block.data(), throttled ? throttledReadSize : block.size()), asTuple);
         if (error)
             break;
-        auto rule = ruleFor(one->callerIp, one->listenIp);
+        auto rule = ruleFor(connection->callerIp, connection->listenIp);
         if (rule.bytesPerSecond > 0) {
-            timer.expires_at(carriedAt(*one, toTarget, bytes, rule.bytesPerSecond));
+            timer.expires_at(transmissionEnd(*connection, toTarget, bytes, rule.bytesPerSecond));
             co_await timer.async_wait(asTuple);
         }
-        while (rule.frozen && one->caller.is_open()) {
-            timer.expires_after(look);
+        while (rule.frozen && connection->caller.is_open()) {
+            timer.expires_after(frozenPollInterval);
             co_await timer.async_wait(asTuple);
-            rule = ruleFor(one->callerIp, one->listenIp);
+            rule = ruleFor(connection->callerIp, connection->listenIp);
         }
         if (rule.cut)
             continue;
@@ -141,14 +141,14 @@
             timer.expires_after(rule.delay);
             co_await timer.async_wait(asTuple);
         }
-        one->passed += toTarget ? 0 : bytes;
-        if (rule.closeAfterBytes > 0 && one->passed > rule.closeAfterBytes)
+        connection->bytesToCaller += toTarget ? 0 : bytes;
+        if (rule.closeAfterBytes > 0 && connection->bytesToCaller > rule.closeAfterBytes)
             break;
         auto [writeError, written] = co_await asio::async_write(to, asio::buffer(block.data(), bytes), asTuple);
         if (writeError)
             break;
     }
-    one->close();
+    connection->close();
 }
 
 } // namespace pistachiolatch::test
--- a/Tests/Support/fault_proxy.h
+++ b/Tests/Support/fault_proxy.h
@@ -10,21 +10,21 @@
 
 namespace pistachiolatch::test {
 
-/// What happens to the bytes of one direction of one link.
+/// The faults of one link.
 struct link_rule {
-    /// Swallow every byte and keep the connection: a silent cut.
+    /// Discard all bytes but keep the connection open.
     bool cut = false;
-    /// Hold every byte back until the rule is lifted: a frozen link.
+    /// Hold all bytes back until the rule is removed.
     bool frozen = false;
     std::chrono::milliseconds delay { 0 };
-    /// Drop the connection after that many further bytes; 0 means never.
+    /// Close a connection once it has passed more than this many bytes to the caller; 0 means never.
     std::size_t closeAfterBytes = 0;
-    /// What the link carries, shared by all connections to one listening IP, each way; 0 means without bound.
+    /// The bandwidth in each direction, shared by all connections to one listening IP; 0 means unlimited.
     std::size_t bytesPerSecond = 0;
 };
 
-/// A TCP proxy that a test puts before processes. A rule goes by the IP of who connected and the address connected
-/// to, so that one direction between two VMs can be cut without the other.
+/// A TCP proxy that injects faults between processes. A rule is selected by the IP that connected and the IP connected
+/// to, so the connections from one VM to another can be cut while those in the other direction keep working.
 class fault_proxy {
 public:
     fault_proxy();
@@ -32,21 +32,21 @@
     fault_proxy(const fault_proxy&) = delete;
     fault_proxy& operator=(const fault_proxy&) = delete;
 
-    /// Listens on one address and passes everything on to another.
+    /// Listens on one address and forwards each connection to another.
     void forward(const std::string& listen, const std::string& target);
-    /// Sets the rule for connections from one IP ("" for any) to one listening IP, for bytes towards the target.
+    /// Sets the rule for connections from one IP ("" for any) to one listening IP.
     void setRule(const std::string& fromIp, const std::string& listenIp, link_rule rule);
-    /// Cuts everything between one IP and all others, both ways, and breaks nothing.
+    /// Discards all bytes between one IP and all others in both directions; connections stay open.
     void isolate(const std::string& ip, bool cut);
-    /// Ends all connections through one listening IP.
+    /// Closes all connections through one listening IP.
     void closeConnections(const std::string& listenIp);
 
 private:
-    struct tunnel;
+    struct proxied_connection;
     link_rule ruleFor(const std::string& fromIp, const std::string& listenIp) const;
-    boost::asio::awaitable<void> acceptAll(std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor, std::string target);
-    std::chrono::steady_clock::time_point carriedAt(const tunnel& one, bool toTarget, std::size_t bytes, std::size_t bytesPerSecond);
-    boost::asio::awaitable<void> pump(std::shared_ptr<tunnel> one, bool toTarget);
+    boost::asio::awaitable<void> acceptConnections(std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor, std::string target);
+    std::chrono::steady_clock::time_point transmissionEnd(const proxied_connection& connection, bool toTarget, std::size_t bytes, std::size_t bytesPerSecond);
+    boost::asio::awaitable<void> forwardBytes(std::shared_ptr<proxied_connection> connection, bool toTarget);
 
     boost::asio::io_context m_context;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_guard;
@@ -54,8 +54,8 @@
     mutable std::mutex m_mutex;
     std::map<std::pair<std::string, std::string>, link_rule> m_rules;
     std::map<std::string, bool> m_isolated;
-    std::vector<std::weak_ptr<tunnel>> m_tunnels;
-    /// When a throttled link has carried what it was given, by listening IP and direction.
+    std::vector<std::weak_ptr<proxied_connection>> m_connections;
+    /// When a throttled link finishes the bytes that it has accepted, by listening IP and direction.
     std::map<std::pair<std::string, bool>, std::chrono::steady_clock::time_point> m_busyUntil;
 };
 
--- a/Tests/Support/fleet.cpp
+++ b/Tests/Support/fleet.cpp
@@ -43,7 +43,7 @@
 name = "orderdesk"
 )";
 
-    std::string valueOf(const std::string& text, const std::string& name)
+    std::string findValue(const std::string& text, const std::string& name)
     {
         auto begin = text.find(name + "=");
         if (begin == std::string::npos)
@@ -73,22 +73,22 @@
     return condition();
 }
 
-fleet::fleet(fleet_options shape)
-    : m_shape(std::move(shape))
+fleet::fleet(fleet_options options)
+    : m_options(std::move(options))
 {
-    // A net of its own for each fleet: fixed ports then never meet another test's.
+    // A random subnet for each fleet, so that the fixed ports don't collide with those of a test that runs in parallel.
     std::random_device random;
-    m_net = fmt::format("127.{}.{}", 30 + random() % 200, 1 + random() % 250);
+    m_subnet = fmt::format("127.{}.{}", 30 + random() % 200, 1 + random() % 250);
     m_folder = (std::filesystem::temp_directory_path() / fmt::format("pistachiolatch-{}-{}", ::getpid(), random())).string();
     std::filesystem::create_directories(m_folder);
     auto keys = runToEnd(buildFolder + "/pistachiolatch", { "wire-keys" }, m_folder + "/keys");
     m_wireKeys = keys.out;
     m_token = "test-token";
     m_tokenSha256 = sha256Hex(m_token);
-    if (m_shape.proxied || m_shape.proxiedEndpoints)
+    if (m_options.proxied || m_options.proxiedEndpoints)
         m_proxy = std::make_unique<fault_proxy>();
     std::string operatorList;
-    for (int n = 1; n <= m_shape.controls; ++n)
+    for (int n = 1; n <= m_options.controls; ++n)
         operatorList += "\"" + operatorAddress(n) + "\",";
     file("operator.toml", fmt::format("controls = [{}]\ntoken = \"{}\"\n", operatorList, m_token));
 }
@@ -111,15 +111,15 @@
     return path;
 }
 
-std::string fleet::common(int vm, int port) const
+std::string fleet::commonSettings(int vm, int port) const
 {
     std::string controls;
     constexpr int proxyOffset = 1000;
-    int offset = m_shape.proxied ? proxyOffset : 0;
-    for (int n = 1; n <= m_shape.controls; ++n)
+    int offset = m_options.proxied ? proxyOffset : 0;
+    for (int n = 1; n <= m_options.controls; ++n)
         controls += fmt::format("\"{}:{}\",", ip(n), 7103 + offset);
     auto text = fmt::format("[vm]\nname = \"vm{}\"\ndata_centre = \"dc{}\"\n[wire]\n{}controls = [{}]\nlisten = \"{}:{}\"\n", vm, vm % 3 + 1, m_wireKeys, controls, ip(vm), port);
-    if (m_shape.proxied)
+    if (m_options.proxied)
         text += fmt::format("advertise = \"{}:{}\"\n", ip(vm), port + offset);
     return text;
 }
@@ -127,7 +127,7 @@
 std::string fleet::controlLogLines(const std::vector<std::string>& eventPrefixes) const
 {
     std::string found;
-    for (int n = 1; n <= m_shape.controls; ++n) {
+    for (int n = 1; n <= m_options.controls; ++n) {
         std::istringstream log(readFile(fmt::format("{}/control{}.out", m_folder, n)));
         for (std::string line; std::getline(log, line);) {
             bool wanted = std::any_of(eventPrefixes.begin(), eventPrefixes.end(), [&](const auto& prefix) { return line.find("event=" + prefix) != std::string::npos; });
@@ -140,98 +140,98 @@
 
 void fleet::startEntry(int n)
 {
-    auto path = file(fmt::format("entry{}.toml", n), common(n, 7101) + fmt::format("[admin]\nlisten = \"{0}:9101\"\n[callers]\nlisten = \"{0}:8080\"\nmax_body_bytes = 4000000\n[endpoints]\nlisten = \"{0}:8081\"\n", ip(n)));
+    auto path = file(fmt::format("entry{}.toml", n), commonSettings(n, 7101) + fmt::format("[admin]\nlisten = \"{0}:9101\"\n[callers]\nlisten = \"{0}:8080\"\nmax_body_bytes = 4000000\n[endpoints]\nlisten = \"{0}:8081\"\n", ip(n)));
     m_entries[n] = child_process(buildFolder + "/pistachiolatch-entry", { "--settings", path }, fmt::format("{}/entry{}", m_folder, n));
 }
 
 void fleet::startScheduler(int n)
 {
-    auto path = file(fmt::format("scheduler{}.toml", n), common(n, 7102) + fmt::format("[admin]\nlisten = \"{}:9102\"\n", ip(n)));
+    auto path = file(fmt::format("scheduler{}.toml", n), commonSettings(n, 7102) + fmt::format("[admin]\nlisten = \"{}:9102\"\n", ip(n)));
     m_schedulers[n] = child_process(buildFolder + "/pistachiolatch-scheduler", { "--settings", path }, fmt::format("{}/scheduler{}", m_folder, n));
 }
 
 void fleet::startControl(int n, bool bootstrap)
 {
     std::string data;
-    if (n <= m_shape.disks) {
+    if (n <= m_options.disks) {
         std::filesystem::create_directories(dataFolder(n));
         data = fmt::format("data_folder = \"{}\"\n", dataFolder(n));
     }
-    auto path = file(fmt::format("control{}.toml", n), common(n, 7103) + fmt::format("[admin]\nlisten = \"{0}:9103\"\n[control]\noperator_listen = \"{0}:8090\"\n{1}[[operator]]\nname = \"anna\"\ntoken_sha256 = \"{2}\"\n[[operator]]\nname = \"juris\"\ntoken_sha256 = \"{3}\"\n", ip(n), data, m_tokenSha256, sha256Hex("other-token")));
+    auto path = file(fmt::format("control{}.toml", n), commonSettings(n, 7103) + fmt::format("[admin]\nlisten = \"{0}:9103\"\n[control]\noperator_listen = \"{0}:8090\"\n{1}[[operator]]\nname = \"anna\"\ntoken_sha256 = \"{2}\"\n[[operator]]\nname = \"juris\"\ntoken_sha256 = \"{3}\"\n", ip(n), data, m_tokenSha256, sha256Hex("other-token")));
     std::vector<std::string> arguments { "--settings", path };
     if (bootstrap)
         arguments.push_back("--bootstrap");
     m_controls[n] = child_process(buildFolder + "/pistachiolatch-control", arguments, fmt::format("{}/control{}", m_folder, n));
 }
 
-void fleet::writeOne(const std::string& id, const std::string& role, const std::string& model, int number, std::string& text)
+void fleet::addEndpoint(const std::string& id, const std::string& role, const std::string& model, int number, std::string& text)
 {
-    auto address = fmt::format("{}.{}:9000", m_net, 100 + number);
+    auto address = fmt::format("{}.{}:9000", m_subnet, 100 + number);
     m_endpoints[id] = address;
-    text += fmt::format("[[endpoint]]\nid = \"{}\"\nlisten = \"{}\"\nrole = \"{}\"\nmodel = \"{}\"\n{}", id, address, role, model, m_shape.endpointLines);
-    if (!m_shape.proxiedEndpoints)
+    text += fmt::format("[[endpoint]]\nid = \"{}\"\nlisten = \"{}\"\nrole = \"{}\"\nmodel = \"{}\"\n{}", id, address, role, model, m_options.endpointLines);
+    if (!m_options.proxiedEndpoints)
         return;
-    auto proxied = fmt::format("{}.{}:9001", m_net, 100 + number);
+    auto proxied = fmt::format("{}.{}:9001", m_subnet, 100 + number);
     m_proxy->forward(proxied, address);
     text += fmt::format("advertise = \"{}\"\n", proxied);
 }
 
-void fleet::writeStandIn()
+void fleet::writeStandInSettings()
 {
     std::string text = "announce = [";
-    for (int n = 1; n <= m_shape.entries; ++n)
+    for (int n = 1; n <= m_options.entries; ++n)
         text += fmt::format("\"{}:8081\",", ip(n));
     text += "]\n";
     int number = 0;
-    for (int n = 1; n <= m_shape.prefill; ++n)
-        writeOne(fmt::format("prefill-{}", n), "prefill", "advisor-llm", ++number, text);
-    for (int n = 1; n <= m_shape.decode; ++n)
-        writeOne(fmt::format("decode-{}", n), "decode", "advisor-llm", ++number, text);
-    for (int n = 1; n <= m_shape.services; ++n)
-        writeOne(fmt::format("orderdesk-{}", n), "service", "orderdesk", ++number, text);
+    for (int n = 1; n <= m_options.prefill; ++n)
+        addEndpoint(fmt::format("prefill-{}", n), "prefill", "advisor-llm", ++number, text);
+    for (int n = 1; n <= m_options.decode; ++n)
+        addEndpoint(fmt::format("decode-{}", n), "decode", "advisor-llm", ++number, text);
+    for (int n = 1; n <= m_options.services; ++n)
+        addEndpoint(fmt::format("orderdesk-{}", n), "service", "orderdesk", ++number, text);
     file("endpoints.toml", text);
 }
 
 void fleet::start()
 {
-    if (m_shape.proxied) {
+    if (m_options.proxied) {
         for (int n = 1; n <= 7; ++n) {
             for (int port : { 7101, 7102, 7103 })
                 m_proxy->forward(fmt::format("{}:{}", ip(n), port + 1000), fmt::format("{}:{}", ip(n), port));
         }
     }
-    for (int n = 1; n <= m_shape.controls; ++n)
+    for (int n = 1; n <= m_options.controls; ++n)
         startControl(n, n == 1);
-    for (int n = 1; n <= m_shape.schedulers; ++n)
+    for (int n = 1; n <= m_options.schedulers; ++n)
         startScheduler(n);
-    for (int n = 1; n <= m_shape.entries; ++n)
+    for (int n = 1; n <= m_options.entries; ++n)
         startEntry(n);
-    writeStandIn();
+    writeStandInSettings();
     m_standIn = child_process(buildFolder + "/stand-in", { "--settings", m_folder + "/endpoints.toml" }, m_folder + "/stand-in");
-    auto records = file("records.toml", m_shape.records.empty() ? defaultRecords : m_shape.records);
+    auto records = file("records.toml", m_options.records.empty() ? defaultRecords : m_options.records);
     auto applied = command({ "apply", records });
     if (applied.code != 0)
         throw std::runtime_error("apply failed: " + applied.err + applied.out + controlLogLines({ "change_unconfirmed", "leadership_", "storage_" }));
     for (const char* organisation : { "alpha", "beta" })
-        m_keys[organisation] = valueOf(command({ "key", "issue", organisation }).out, "key");
+        m_keys[organisation] = findValue(command({ "key", "issue", organisation }).out, "key");
     bool up = eventually([&] {
-        // All voters in, all endpoints known: from here on a test's faults are the only ones.
+        // Waits for all voters and endpoints, so that the start is not mistaken for a fault of the test.
         auto text = command({ "status" }).out;
         std::size_t voters = 0;
         for (auto at = text.find("replica vm="); at != std::string::npos; at = text.find("replica vm=", at + 1))
             ++voters;
-        return voters == static_cast<std::size_t>(m_shape.controls)
-            && text.find(fmt::format("endpoints={} ", m_shape.prefill + m_shape.decode)) != std::string::npos
-            && text.find(fmt::format("shard=service:orderdesk policy=reserve endpoints={} ", m_shape.services)) != std::string::npos;
+        return voters == static_cast<std::size_t>(m_options.controls)
+            && text.find(fmt::format("endpoints={} ", m_options.prefill + m_options.decode)) != std::string::npos
+            && text.find(fmt::format("shard=service:orderdesk policy=reserve endpoints={} ", m_options.services)) != std::string::npos;
     });
     if (!up)
-        throw std::runtime_error("the fleet did not come up: " + command({ "status" }).out);
+        throw std::runtime_error("the fleet did not become ready: " + command({ "status" }).out);
 }
 
 command_output fleet::command(std::vector<std::string> arguments)
 {
     arguments.insert(arguments.begin(), { "--settings", m_folder + "/operator.toml" });
-    return runToEnd(buildFolder + "/pistachiolatch", arguments, fmt::format("{}/command{}", m_folder, ++m_commands));
+    return runToEnd(buildFolder + "/pistachiolatch", arguments, fmt::format("{}/command{}", m_folder, ++m_commandCount));
 }
 
 simple_response fleet::call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout) const
@@ -303,7 +303,7 @@
 
 int fleet::leader() const
 {
-    for (int n = 1; n <= m_shape.controls; ++n) {
+    for (int n = 1; n <= m_options.controls; ++n) {
         if (call(operatorAddress(n), "GET", "/v1/status", { { "Authorization", "Bearer " + m_token } }, "", milliseconds(1500)).status == 200)
             return n;
     }
@@ -319,7 +319,7 @@
 
 std::string fleet::status(const std::string& field)
 {
-    return valueOf(command({ "status" }).out, field);
+    return findValue(command({ "status" }).out, field);
 }
 
 streaming_caller::streaming_caller(const fleet& where, int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation)
--- a/Tests/Support/fleet.h
+++ b/Tests/Support/fleet.h
@@ -10,7 +10,7 @@
 
 namespace pistachiolatch::test {
 
-/// What a test wants to have around.
+/// The processes and endpoints of a fleet.
 struct fleet_options {
     int entries = 3;
     int schedulers = 2;
@@ -19,16 +19,17 @@
     int prefill = 2;
     int decode = 2;
     int services = 2;
-    /// Lines added to each endpoint of the stand-in.
+    /// Settings lines added to each endpoint of the stand-in.
     std::string endpointLines;
-    /// Puts the fault proxy before the wire of every process.
+    /// Routes the messages between processes through the fault proxy.
     bool proxied = false;
-    /// Puts the fault proxy before every endpoint.
+    /// Routes the calls to endpoints through the fault proxy.
     bool proxiedEndpoints = false;
+    /// The records to apply as TOML; empty means the default ones.
     std::string records;
 };
 
-/// A caller's or endpoint's answer.
+/// An HTTP response; `broken` means that it didn't arrive completely.
 struct simple_response {
     unsigned status = 0;
     std::string body;
@@ -37,36 +38,38 @@
     std::string header(const std::string& name) const;
 };
 
-/// A whole fleet of real processes on loopback addresses of its own.
+/// Runs all programs of a fleet as processes, on a loopback subnet of its own.
 class fleet {
 public:
-    explicit fleet(fleet_options shape);
+    explicit fleet(fleet_options options);
     ~fleet();
     fleet(const fleet&) = delete;
     fleet& operator=(const fleet&) = delete;
 
-    /// Starts everything, applies the records and issues one key for each organisation.
+    /// Starts all processes, applies the records, issues a key for each organisation and waits until the fleet is ready.
     void start();
     void startEntry(int n);
     void startScheduler(int n);
     void startControl(int n, bool bootstrap = false);
-    /// Runs the operators' command.
+    /// Runs the pistachiolatch command with the operator's settings.
     command_output command(std::vector<std::string> arguments);
-    /// Writes a file into the fleet's folder and returns its path.
+    /// Writes a file into the fleet's folder. Returns its path.
     std::string file(const std::string& name, const std::string& content) const;
     simple_response call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers, const std::string& body, milliseconds timeout = milliseconds(30000)) const;
-    /// A completion asked for at an entry.
+    /// Requests a completion at an entry.
     simple_response complete(int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation = "alpha") const;
     simple_response book(int entry, const std::string& key, const std::string& body, const std::string& organisation = "alpha") const;
-    /// Switches faults of one endpoint; the JSON replaces earlier faults.
+    /// Replaces the faults of an endpoint by those in the JSON object.
     void setFaults(const std::string& endpoint, const std::string& json) const;
+    /// Reads a number or flag from the statistics of an endpoint.
     std::int64_t stat(const std::string& endpoint, const std::string& name) const;
-    /// The sum of a figure over all model endpoints.
+    /// Adds up a statistic over all model endpoints.
     std::int64_t statSum(const std::string& name) const;
     std::vector<std::string> modelEndpoints() const;
+    /// Returns the value of a metric, given by its name with labels, or an empty string.
     std::string metric(const std::string& adminAddress, const std::string& line) const;
 
-    std::string ip(int vm) const { return m_net + "." + std::to_string(10 + vm); }
+    std::string ip(int vm) const { return m_subnet + "." + std::to_string(10 + vm); }
     std::string callerAddress(int n) const { return ip(n) + ":8080"; }
     std::string entryAdminAddress(int n) const { return ip(n) + ":9101"; }
     std::string schedulerAdminAddress(int n) const { return ip(n) + ":9102"; }
@@ -75,11 +78,11 @@
     const std::string& token() const { return m_token; }
     std::string dataFolder(int n) const { return m_folder + "/data" + std::to_string(n); }
     const std::string& folder() const { return m_folder; }
-    /// The VM whose control replica leads, or 0.
+    /// Returns the number of the VM whose control replica leads, or 0.
     int leader() const;
-    /// The VM whose scheduler owns a shard, or 0.
+    /// Returns the number of the VM whose scheduler owns a shard, or 0.
     int owner(const std::string& shard);
-    /// One field of `status`, such as "revision".
+    /// Returns a field of the output of `status`, such as "revision".
     std::string status(const std::string& field);
     bool isReady(const std::string& admin) const;
 
@@ -90,14 +93,14 @@
     fault_proxy& proxy() { return *m_proxy; }
 
 private:
-    std::string common(int vm, int port) const;
+    std::string commonSettings(int vm, int port) const;
     /// Returns the log lines of all control processes whose event name starts with one of the prefixes.
     std::string controlLogLines(const std::vector<std::string>& eventPrefixes) const;
-    void writeStandIn();
-    void writeOne(const std::string& id, const std::string& role, const std::string& model, int number, std::string& text);
+    void writeStandInSettings();
+    void addEndpoint(const std::string& id, const std::string& role, const std::string& model, int number, std::string& text);
 
-    fleet_options m_shape;
-    std::string m_net;
+    fleet_options m_options;
+    std::string m_subnet;
     std::string m_folder;
     std::string m_wireKeys;
     std::string m_token;
@@ -109,23 +112,24 @@
     std::map<int, child_process> m_schedulers;
     std::map<int, child_process> m_controls;
     child_process m_standIn;
-    int m_commands = 0;
+    int m_commandCount = 0;
 };
 
-/// Waits until a condition holds; false after a deadline that only a hang can reach.
+/// Waits until a condition holds. Returns false at the deadline, which is long enough to be missed only by a hang.
 bool eventually(const std::function<bool()>& condition, std::chrono::seconds deadline = std::chrono::seconds(40));
 
-/// A streamed completion that a test reads piece by piece and may leave at any time.
+/// Requests a streamed completion that a test reads step by step and can disconnect from at any time.
 class streaming_caller {
 public:
     streaming_caller(const fleet& where, int entry, const std::string& prompt, std::uint32_t maxTokens, const std::string& organisation = "alpha");
-    /// Reads until the text holds a part; false if the stream ends before.
+    /// Reads until the response contains a text. Returns false if the connection ends first.
     bool readUntil(const std::string& part);
-    /// Reads to the end of the connection.
+    /// Reads until the end of the response or of the connection.
     std::string readAll();
     const std::string& received() const { return m_received; }
-    /// The tokens received, in order, and whether the end mark came.
+    /// Returns the concatenated text of the tokens received so far.
     std::string text() const;
+    /// Returns whether the final event arrived.
     bool isComplete() const { return m_received.find("data: [DONE]") != std::string::npos; }
     void disconnect();
 
--- a/Tests/Support/golden.cpp
+++ b/Tests/Support/golden.cpp
@@ -22,17 +22,17 @@
         std::ofstream(path) << session;
         return {};
     }
-    std::istringstream wanted(readFile(path));
-    std::istringstream got(session);
-    std::string wantedLine;
-    std::string gotLine;
+    std::istringstream expected(readFile(path));
+    std::istringstream actual(session);
+    std::string expectedLine;
+    std::string actualLine;
     for (int number = 1;; ++number) {
-        bool moreWanted = static_cast<bool>(std::getline(wanted, wantedLine));
-        bool moreGot = static_cast<bool>(std::getline(got, gotLine));
-        if (!moreWanted && !moreGot)
+        bool hasExpected = static_cast<bool>(std::getline(expected, expectedLine));
+        bool hasActual = static_cast<bool>(std::getline(actual, actualLine));
+        if (!hasExpected && !hasActual)
             return {};
-        if (moreWanted != moreGot || wantedLine != gotLine)
-            return file + ":" + std::to_string(number) + "\n  expected: " + (moreWanted ? wantedLine : "(end)") + "\n  got:      " + (moreGot ? gotLine : "(end)");
+        if (hasExpected != hasActual || expectedLine != actualLine)
+            return file + ":" + std::to_string(number) + "\n  expected: " + (hasExpected ? expectedLine : "(end)") + "\n  got:      " + (hasActual ? actualLine : "(end)");
     }
 }
 
