--- a/Tests/StandIn/stand_in_engine.cpp
+++ b/Tests/StandIn/stand_in_engine.cpp
@@ -11,9 +11,9 @@
 
 namespace {
     constexpr const char* jsonType = "application/json";
-    constexpr std::uint32_t piece = 4096;
-    constexpr std::size_t prefixBytes = 16UL * 1024;
-    constexpr std::size_t mostPrefixes = 32;
+    constexpr std::uint32_t tokensPerPiece = 4096;
+    constexpr std::size_t prefixLength = 16UL * 1024;
+    constexpr std::size_t maxCachedPrefixes = 32;
     constexpr milliseconds announceInterval { 400 };
     constexpr milliseconds progressInterval { 50 };
 
@@ -22,203 +22,203 @@
         return std::chrono::steady_clock::now();
     }
 
-    std::string text(const json::object& body, const char* name)
+    std::string stringField(const json::object& body, const char* name)
     {
         const auto* value = body.if_contains(name);
         return value && value->is_string() ? std::string(value->get_string()) : std::string();
     }
 
-    std::uint64_t number(const json::object& body, const char* name)
+    std::uint64_t numberField(const json::object& body, const char* name)
     {
         const auto* value = body.if_contains(name);
         json::error_code error;
         return value ? value->to_number<std::uint64_t>(error) : 0;
     }
 
-    bool flag(const json::object& body, const char* name)
+    bool boolField(const json::object& body, const char* name)
     {
         const auto* value = body.if_contains(name);
         return value && value->is_bool() && value->get_bool();
     }
 
-    json::object object(const std::string& body)
+    json::object parseObject(const std::string& body)
     {
         json::error_code error;
         auto value = json::parse(body, error);
         return !error && value.is_object() ? value.get_object() : json::object();
     }
 
-    std::string event(json::object body)
+    std::string formatEvent(json::object body)
     {
         return sseEvent(json::serialize(body));
     }
 
-    std::string tagged(const std::string& tag, const char* mark)
+    std::string flagEvent(const std::string& tag, const char* flagName)
     {
         json::object body;
         body["tag"] = tag;
-        body[mark] = true;
-        return event(std::move(body));
+        body[flagName] = true;
+        return formatEvent(std::move(body));
     }
 }
 
-stand_in_engine::stand_in_engine(traffic_threads& threads, engine_profile profile, shared_world& world, std::vector<std::string> announceTo)
+stand_in_engine::stand_in_engine(traffic_threads& threads, endpoint_settings settings, shared_state& shared, std::vector<std::string> entryAddresses)
     : m_threads(threads)
-    , m_profile(std::move(profile))
-    , m_world(world)
-    , m_announceTo(std::move(announceTo))
+    , m_settings(std::move(settings))
+    , m_shared(shared)
+    , m_entryAddresses(std::move(entryAddresses))
     , m_server(
-          threads, http_limits {}, [this](http_exchange& exchange) { return handle(exchange); }, [](reason why) { return http_refusal { httpStatus(why), jsonType, "{}", {} }; })
+          threads, http_limits {}, [this](http_exchange& exchange) { return handleRequest(exchange); }, [](reason why) { return http_refusal { httpStatus(why), jsonType, "{}", {} }; })
     , m_incarnation(freshIncarnation())
 {
 }
 
 result<void> stand_in_engine::start()
 {
-    BOOST_OUTCOME_TRYV(m_server.listen(m_profile.listen));
-    asio::co_spawn(m_threads.first(), announceForever(), asio::detached);
+    BOOST_OUTCOME_TRYV(m_server.listen(m_settings.listen));
+    asio::co_spawn(m_threads.first(), sendAnnouncements(), asio::detached);
     return ok();
 }
 
 std::string stand_in_engine::address() const
 {
-    if (!m_profile.advertise.empty())
-        return m_profile.advertise;
-    return m_profile.listen.substr(0, m_profile.listen.rfind(':') + 1) + std::to_string(m_server.port());
+    if (!m_settings.advertise.empty())
+        return m_settings.advertise;
+    return m_settings.listen.substr(0, m_settings.listen.rfind(':') + 1) + std::to_string(m_server.port());
 }
 
-task_of<void> stand_in_engine::pause(duration length)
+task_of<void> stand_in_engine::sleepFor(duration length)
 {
     asio::steady_timer timer(m_threads.first(), length);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-task_of<void> stand_in_engine::handle(http_exchange& exchange)
+task_of<void> stand_in_engine::handleRequest(http_exchange& exchange)
 {
     auto path = exchange.path();
-    auto body = object(exchange.message().body());
-    m_world.keySeen = m_world.keySeen || !exchange.header("Authorization").empty() || exchange.message().body().find("pl-") != std::string::npos;
+    auto body = parseObject(exchange.message().body());
+    m_shared.callerKeySeen = m_shared.callerKeySeen || !exchange.header("Authorization").empty() || exchange.message().body().find("pl-") != std::string::npos;
     if (path == "/test") {
-        control(body);
+        setFaults(body);
         co_await exchange.respond(200, jsonType, "{}");
         co_return;
     }
     if (path == "/stats") {
-        auto answer = json::serialize(stats());
-        co_await exchange.respond(200, jsonType, answer);
+        auto response = json::serialize(stats());
+        co_await exchange.respond(200, jsonType, response);
         co_return;
     }
     if (m_down || m_ignoreCalls) {
         while (m_ignoreCalls)
-            co_await pause(milliseconds(20));
+            co_await sleepFor(milliseconds(20));
         exchange.abortStream();
         co_return;
     }
-    if (m_profile.role == "service")
-        co_await service(exchange);
+    if (m_settings.role == "service")
+        co_await handleService(exchange);
     else if (path == "/prefill")
-        co_await prefill(exchange, body);
+        co_await handlePrefill(exchange, body);
     else if (path == "/kv/export")
-        co_await exportKv(exchange, body);
+        co_await handleKvExport(exchange, body);
     else if (path == "/kv/import")
-        co_await importKv(exchange, body);
+        co_await handleKvImport(exchange, body);
     else if (path == "/decode")
-        co_await decode(exchange, body);
+        co_await handleDecode(exchange, body);
     else if (path == "/cancel")
-        co_await cancel(exchange, body);
+        co_await handleCancel(exchange, body);
     else if (path == "/orders")
-        co_await order(exchange, body);
+        co_await handleOrder(exchange, body);
     else if (path == "/requests") {
-        expireKv();
+        removeExpiredKv();
         json::array items;
-        for (const auto& [id, kv] : m_kv)
-            items.push_back(json::object { { "tag", kv.tag }, { "attached", m_running.count(kv.tag) > 0 } });
-        json::object answer;
-        answer["requests"] = std::move(items);
-        auto bytes = json::serialize(answer);
+        for (const auto& [id, kv] : m_kvCache)
+            items.push_back(json::object { { "tag", kv.tag }, { "attached", m_runningByTag.count(kv.tag) > 0 } });
+        json::object response;
+        response["requests"] = std::move(items);
+        auto bytes = json::serialize(response);
         co_await exchange.respond(200, jsonType, bytes);
     } else
         co_await exchange.respond(404, jsonType, "{}");
 }
 
-task_of<void> stand_in_engine::prefill(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handlePrefill(http_exchange& exchange, json_object body)
 {
-    auto life = m_incarnation;
-    held_kv kv;
-    kv.tag = text(body, "tag");
-    kv.prompt = text(body, "prompt");
-    kv.fromIndex = static_cast<std::uint32_t>(number(body, "from_index"));
+    auto incarnation = m_incarnation;
+    kv_cache_entry kv;
+    kv.tag = stringField(body, "tag");
+    kv.prompt = stringField(body, "prompt");
+    kv.fromIndex = static_cast<std::uint32_t>(numberField(body, "from_index"));
     kv.tokens = static_cast<std::uint32_t>((kv.prompt.size() + 3) / 4) + kv.fromIndex;
-    kv.pieces = (kv.tokens + piece - 1) / piece;
-    auto cost = kv.tokens;
-    if (kv.prompt.size() >= prefixBytes) {
-        auto prefix = XXH3_64bits(kv.prompt.data(), prefixBytes);
-        bool cached = std::find(m_prefixes.begin(), m_prefixes.end(), prefix) != m_prefixes.end();
-        cost -= cached ? piece : 0;
+    kv.pieces = (kv.tokens + tokensPerPiece - 1) / tokensPerPiece;
+    auto computedTokens = kv.tokens;
+    if (kv.prompt.size() >= prefixLength) {
+        auto prefix = XXH3_64bits(kv.prompt.data(), prefixLength);
+        bool cached = std::find(m_cachedPrefixes.begin(), m_cachedPrefixes.end(), prefix) != m_cachedPrefixes.end();
+        computedTokens -= cached ? tokensPerPiece : 0;
         if (!cached)
-            m_prefixes.push_back(prefix);
-        if (m_prefixes.size() > mostPrefixes)
-            m_prefixes.pop_front();
+            m_cachedPrefixes.push_back(prefix);
+        if (m_cachedPrefixes.size() > maxCachedPrefixes)
+            m_cachedPrefixes.pop_front();
     }
     ++m_prefillWaiting;
-    m_prefillBusyUntil = std::max(m_prefillBusyUntil, now()) + std::chrono::microseconds(1'000'000ULL * cost / m_profile.prefillTokensPerSecond);
-    auto ends = m_prefillBusyUntil;
-    co_await pause(ends - now());
+    m_prefillBusyUntil = std::max(m_prefillBusyUntil, now()) + std::chrono::microseconds(1'000'000ULL * computedTokens / m_settings.prefillTokensPerSecond);
+    auto finishTime = m_prefillBusyUntil;
+    co_await sleepFor(finishTime - now());
     --m_prefillWaiting;
     if (kv.prompt.find(crashMark) != std::string::npos)
         crash();
-    if (dead(life)) {
+    if (hasCrashedSince(incarnation)) {
         exchange.abortStream();
         co_return;
     }
-    m_tokensPrefilled += cost;
+    m_tokensPrefilled += computedTokens;
     ++m_prefills;
-    if (m_cancelled.count(kv.tag)) {
-        m_tokensExpired += kv.tokens;
+    if (m_cancelledTags.count(kv.tag)) {
+        m_tokensWasted += kv.tokens;
         co_await exchange.respond(409, jsonType, "{}");
         co_return;
     }
-    auto id = fmt::format("{}-kv{}", m_profile.id, ++m_lastKv);
-    kv.expires = now() + m_profile.kvExpiry;
-    json::object answer;
-    answer["tag"] = kv.tag;
-    answer["kv"] = id;
-    answer["prompt_tokens"] = kv.tokens - kv.fromIndex;
-    answer["expires_ms"] = m_profile.kvExpiry.count();
-    m_kv[id] = kv;
-    auto bytes = json::serialize(answer);
+    auto id = fmt::format("{}-kv{}", m_settings.id, ++m_lastKvNumber);
+    kv.expires = now() + m_settings.kvExpiry;
+    json::object response;
+    response["tag"] = kv.tag;
+    response["kv"] = id;
+    response["prompt_tokens"] = kv.tokens - kv.fromIndex;
+    response["expires_ms"] = m_settings.kvExpiry.count();
+    m_kvCache[id] = kv;
+    auto bytes = json::serialize(response);
     co_await exchange.respond(200, jsonType, bytes);
 }
 
-void stand_in_engine::expireKv()
+void stand_in_engine::removeExpiredKv()
 {
-    for (auto it = m_kv.begin(); it != m_kv.end();) {
+    for (auto it = m_kvCache.begin(); it != m_kvCache.end();) {
         bool expired = !it->second.imported && !it->second.pinned && it->second.expires <= now();
-        m_tokensExpired += expired ? it->second.tokens : 0;
-        it = expired ? m_kv.erase(it) : std::next(it);
+        m_tokensWasted += expired ? it->second.tokens : 0;
+        it = expired ? m_kvCache.erase(it) : std::next(it);
     }
 }
 
-task_of<void> stand_in_engine::exportKv(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handleKvExport(http_exchange& exchange, json_object body)
 {
-    expireKv();
-    auto found = m_kv.find(text(body, "kv"));
-    if (found == m_kv.end()) {
+    removeExpiredKv();
+    auto found = m_kvCache.find(stringField(body, "kv"));
+    if (found == m_kvCache.end()) {
         co_await exchange.respond(410, jsonType, "{}");
         co_return;
     }
-    json::object answer;
-    answer["prompt"] = found->second.prompt;
-    answer["tokens"] = found->second.tokens;
-    answer["from_index"] = found->second.fromIndex;
+    json::object response;
+    response["prompt"] = found->second.prompt;
+    response["tokens"] = found->second.tokens;
+    response["from_index"] = found->second.fromIndex;
     found->second.pinned = true;
-    if (text(body, "phase") == "end")
-        m_kv.erase(found);
-    auto bytes = json::serialize(answer);
+    if (stringField(body, "phase") == "end")
+        m_kvCache.erase(found);
+    auto bytes = json::serialize(response);
     co_await exchange.respond(200, jsonType, bytes);
 }
 
-task_of<bool> stand_in_engine::callSource(std::string source, std::string kv, std::string phase, json_object& answer)
+task_of<bool> stand_in_engine::requestKvExport(std::string source, std::string kv, std::string phase, json_object& response)
 {
     http_call call;
     call.target = "/kv/export";
@@ -226,188 +226,188 @@
     body["kv"] = kv;
     body["phase"] = phase;
     call.body = json::serialize(body);
-    auto got = co_await http_client::fetch(source, call, milliseconds(500), milliseconds(2000));
-    answer = object(got.body);
-    co_return got.succeeded();
+    auto received = co_await http_client::fetch(source, call, milliseconds(500), milliseconds(2000));
+    response = parseObject(received.body);
+    co_return received.succeeded();
 }
 
-task_of<void> stand_in_engine::importKv(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handleKvImport(http_exchange& exchange, json_object body)
 {
-    auto life = m_incarnation;
-    auto tag = text(body, "tag");
-    auto id = text(body, "kv");
-    auto source = text(body, "source");
+    auto incarnation = m_incarnation;
+    auto tag = stringField(body, "tag");
+    auto id = stringField(body, "kv");
+    auto source = stringField(body, "source");
     if (!co_await exchange.beginStream(200, "text/event-stream"))
         co_return;
-    // The engine takes the request in once a slot is free; until then the KV cache ages at its source.
+    // The request waits for a free slot; meanwhile the KV cache can expire at its source.
     ++m_importWaiting;
-    while (batch() >= m_profile.slots && !dead(life) && !m_cancelled.count(tag)) {
-        auto beat = tagged(tag, "waiting");
-        if (!co_await exchange.writePiece(beat))
+    while (batchSize() >= m_settings.slots && !hasCrashedSince(incarnation) && !m_cancelledTags.count(tag)) {
+        auto waiting = flagEvent(tag, "waiting");
+        if (!co_await exchange.writePiece(waiting))
             break;
-        co_await pause(milliseconds(20));
+        co_await sleepFor(milliseconds(20));
     }
     --m_importWaiting;
-    json_object answer;
-    bool there = !dead(life) && !m_cancelled.count(tag) && co_await callSource(source, id, "begin", answer);
-    if (dead(life)) {
+    json_object response;
+    bool exported = !hasCrashedSince(incarnation) && !m_cancelledTags.count(tag) && co_await requestKvExport(source, id, "begin", response);
+    if (hasCrashedSince(incarnation)) {
         exchange.abortStream();
         co_return;
     }
-    held_kv kv;
+    kv_cache_entry kv;
     kv.tag = tag;
-    kv.prompt = text(answer, "prompt");
-    kv.tokens = static_cast<std::uint32_t>(number(answer, "tokens"));
-    kv.fromIndex = static_cast<std::uint32_t>(number(answer, "from_index"));
-    kv.pieces = (kv.tokens + static_cast<std::uint32_t>(number(body, "max_tokens")) + piece - 1) / piece;
+    kv.prompt = stringField(response, "prompt");
+    kv.tokens = static_cast<std::uint32_t>(numberField(response, "tokens"));
+    kv.fromIndex = static_cast<std::uint32_t>(numberField(response, "from_index"));
+    kv.pieces = (kv.tokens + static_cast<std::uint32_t>(numberField(body, "max_tokens")) + tokensPerPiece - 1) / tokensPerPiece;
     kv.imported = true;
-    bool fits = m_profile.memoryPieces == 0 || usedPieces() + kv.pieces <= m_profile.memoryPieces;
-    if (!there || !fits) {
-        auto gone = tagged(tag, "expired");
-        if (co_await exchange.writePiece(gone))
+    bool fits = m_settings.memoryPieces == 0 || usedPieces() + kv.pieces <= m_settings.memoryPieces;
+    if (!exported || !fits) {
+        auto expired = flagEvent(tag, "expired");
+        if (co_await exchange.writePiece(expired))
             co_await exchange.endStream();
         co_return;
     }
-    m_kv[id] = kv;
-    auto micros = 8ULL * kv.tokens * m_profile.kvBytesPerToken / m_profile.linkMbps;
+    m_kvCache[id] = kv;
+    auto micros = 8ULL * kv.tokens * m_settings.kvBytesPerToken / m_settings.linkMbps;
     m_linkBusyUntil = std::max(m_linkBusyUntil, now()) + std::chrono::microseconds(micros);
-    auto ends = m_linkBusyUntil;
-    while (now() < ends && !dead(life) && m_kv.count(id)) {
-        co_await pause(std::min<duration>(progressInterval, ends - now()));
-        while (m_stallTransfers && m_kv.count(id))
-            co_await pause(milliseconds(20));
+    auto finishTime = m_linkBusyUntil;
+    while (now() < finishTime && !hasCrashedSince(incarnation) && m_kvCache.count(id)) {
+        co_await sleepFor(std::min<duration>(progressInterval, finishTime - now()));
+        while (m_stallTransfers && m_kvCache.count(id))
+            co_await sleepFor(milliseconds(20));
         json::object progress;
         progress["tag"] = tag;
-        progress["left_us"] = std::chrono::duration_cast<std::chrono::microseconds>(ends - now()).count();
-        auto bytes = event(std::move(progress));
+        progress["left_us"] = std::chrono::duration_cast<std::chrono::microseconds>(finishTime - now()).count();
+        auto bytes = formatEvent(std::move(progress));
         if (!co_await exchange.writePiece(bytes))
             break;
     }
-    if (dead(life) || !m_kv.count(id)) {
+    if (hasCrashedSince(incarnation) || !m_kvCache.count(id)) {
         exchange.abortStream();
         co_return;
     }
-    co_await callSource(source, id, "end", answer);
-    auto done = tagged(tag, "done");
+    co_await requestKvExport(source, id, "end", response);
+    auto done = flagEvent(tag, "done");
     if (co_await exchange.writePiece(done))
         co_await exchange.endStream();
 }
 
-task_of<void> stand_in_engine::decode(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handleDecode(http_exchange& exchange, json_object body)
 {
-    auto life = m_incarnation;
-    auto id = text(body, "kv");
-    auto tag = text(body, "tag");
-    auto found = m_kv.find(id);
-    if (found == m_kv.end()) {
+    auto incarnation = m_incarnation;
+    auto id = stringField(body, "kv");
+    auto tag = stringField(body, "tag");
+    auto found = m_kvCache.find(id);
+    if (found == m_kvCache.end()) {
         co_await exchange.respond(410, jsonType, "{}");
         co_return;
     }
     auto prompt = found->second.prompt;
-    auto count = expectedTokens(prompt, static_cast<std::uint32_t>(number(body, "max_tokens")));
+    auto count = expectedTokens(prompt, static_cast<std::uint32_t>(numberField(body, "max_tokens")));
     if (!co_await exchange.beginStream(200, "text/event-stream"))
         co_return;
-    ++m_running[tag];
-    bool open = true;
-    std::uint32_t made = 0;
-    for (auto index = static_cast<std::uint32_t>(number(body, "from_index")); index < count && open; ++index) {
-        co_await pause(std::chrono::microseconds(m_profile.stepMicros + m_profile.stepMicrosPerRequest * batch()));
-        open = !dead(life) && m_kv.count(id);
-        bool breaks = m_breakAfterTokens > 0 && ++made > m_breakAfterTokens;
-        if (breaks)
+    ++m_runningByTag[tag];
+    bool connected = true;
+    std::uint32_t generatedTokens = 0;
+    for (auto index = static_cast<std::uint32_t>(numberField(body, "from_index")); index < count && connected; ++index) {
+        co_await sleepFor(std::chrono::microseconds(m_settings.stepMicros + m_settings.stepMicrosPerRequest * batchSize()));
+        connected = !hasCrashedSince(incarnation) && m_kvCache.count(id);
+        bool crashes = m_crashAfterTokens > 0 && ++generatedTokens > m_crashAfterTokens;
+        if (crashes)
             crash();
-        if (!open || breaks)
+        if (!connected || crashes)
             break;
-        constexpr std::uint32_t lostIndex = 4;
-        if (m_loseToken && index == lostIndex)
+        constexpr std::uint32_t lostTokenIndex = 4;
+        if (m_loseToken && index == lostTokenIndex)
             continue;
         json::object token;
-        token["tag"] = m_crossAnswers ? std::string("another/1/request/0") : tag;
+        token["tag"] = m_wrongTags ? std::string("another/1/request/0") : tag;
         token["index"] = index;
         token["text"] = expectedToken(prompt, index);
-        auto bytes = event(std::move(token));
+        auto bytes = formatEvent(std::move(token));
         if (m_duplicateTokens)
             bytes += bytes;
-        open = co_await exchange.writePiece(bytes);
+        connected = co_await exchange.writePiece(bytes);
     }
-    if (auto running = m_running.find(tag); running != m_running.end() && --running->second == 0)
-        m_running.erase(running);
-    if (!open || dead(life)) {
-        // Like an engine that only notices a lost reader late: what it holds stays until it is cancelled.
+    if (auto running = m_runningByTag.find(tag); running != m_runningByTag.end() && --running->second == 0)
+        m_runningByTag.erase(running);
+    if (!connected || hasCrashedSince(incarnation)) {
+        // As in an engine that notices a lost connection late, the KV cache stays in memory until the request is cancelled.
         exchange.abortStream();
         co_return;
     }
-    m_kv.erase(id);
+    m_kvCache.erase(id);
     json::object end;
     end["tag"] = tag;
     end["done"] = true;
     end["reason"] = "stop";
     end["tokens"] = count;
-    auto bytes = event(std::move(end));
+    auto bytes = formatEvent(std::move(end));
     if (co_await exchange.writePiece(bytes))
         co_await exchange.endStream();
 }
 
-task_of<void> stand_in_engine::cancel(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handleCancel(http_exchange& exchange, json_object body)
 {
     if (m_loseCancels > 0) {
         --m_loseCancels;
         exchange.abortStream();
         co_return;
     }
-    auto tag = text(body, "tag");
-    m_cancelled.insert(tag);
-    for (auto it = m_kv.begin(); it != m_kv.end();) {
+    auto tag = stringField(body, "tag");
+    m_cancelledTags.insert(tag);
+    for (auto it = m_kvCache.begin(); it != m_kvCache.end();) {
         bool match = it->second.tag == tag;
-        m_tokensExpired += match && !it->second.imported ? it->second.tokens : 0;
-        it = match ? m_kv.erase(it) : std::next(it);
+        m_tokensWasted += match && !it->second.imported ? it->second.tokens : 0;
+        it = match ? m_kvCache.erase(it) : std::next(it);
     }
     co_await exchange.respond(200, jsonType, "{\"held\":false}");
 }
 
-task_of<void> stand_in_engine::order(http_exchange& exchange, json_object body)
+task_of<void> stand_in_engine::handleOrder(http_exchange& exchange, json_object body)
 {
-    auto fence = number(body, "fence");
-    if (m_profile.fencing && fence < m_fence) {
+    auto fence = numberField(body, "fence");
+    if (m_settings.fencing && fence < m_fence) {
         co_await exchange.respond(409, jsonType, "{}");
         co_return;
     }
     m_fence = fence;
-    ++m_ordersTaken;
+    ++m_ordersAccepted;
     co_await exchange.respond(200, jsonType, "{}");
-    m_world.loadsPeak = std::max(m_world.loadsPeak, ++m_world.loadsNow);
-    co_await pause(m_profile.loadTime);
-    --m_world.loadsNow;
-    m_profile.role = text(body, "role");
-    m_profile.model = text(body, "model");
-    m_profile.version = text(body, "version");
+    m_shared.peakModelLoads = std::max(m_shared.peakModelLoads, ++m_shared.activeModelLoads);
+    co_await sleepFor(m_settings.loadTime);
+    --m_shared.activeModelLoads;
+    m_settings.role = stringField(body, "role");
+    m_settings.model = stringField(body, "model");
+    m_settings.version = stringField(body, "version");
 }
 
-task_of<void> stand_in_engine::service(http_exchange& exchange)
+task_of<void> stand_in_engine::handleService(http_exchange& exchange)
 {
-    auto life = m_incarnation;
+    auto incarnation = m_incarnation;
     auto key = exchange.header("Idempotency-Key");
     auto organisation = exchange.header("X-Organisation");
     std::string path(exchange.message().target());
     auto body = exchange.message().body();
-    ++m_running["service"];
-    // The effect comes first and the answer later, as with a booking whose confirmation gets lost.
-    ++m_world.serviceRuns;
-    auto count = key.empty() ? 1 : ++m_world.executions[organisation + "/" + key];
-    co_await pause(m_profile.serviceTime);
-    --m_running["service"];
+    ++m_runningByTag["service"];
+    // The effect precedes the response, so a booking can take place although its confirmation is lost.
+    ++m_shared.serviceExecutions;
+    auto count = key.empty() ? 1 : ++m_shared.executionsByKey[organisation + "/" + key];
+    co_await sleepFor(m_settings.serviceTime);
+    --m_runningByTag["service"];
     if (body.find(crashMark) != std::string::npos)
         crash();
-    if (dead(life)) {
+    if (hasCrashedSince(incarnation)) {
         exchange.abortStream();
         co_return;
     }
-    json::object answer;
-    answer["service"] = m_profile.model;
-    answer["path"] = path;
-    answer["echo"] = body;
-    answer["executions"] = count;
-    auto bytes = json::serialize(answer);
+    json::object response;
+    response["service"] = m_settings.model;
+    response["path"] = path;
+    response["echo"] = body;
+    response["executions"] = count;
+    auto bytes = json::serialize(response);
     co_await exchange.respond(200, jsonType, bytes);
 }
 
@@ -417,123 +417,123 @@
         return;
     m_down = true;
     ++m_crashes;
-    m_kv.clear();
-    m_running.clear();
+    m_kvCache.clear();
+    m_runningByTag.clear();
     m_prefillBusyUntil = {};
     m_linkBusyUntil = {};
     auto restart = [this]() -> task_of<void> {
-        co_await pause(m_profile.restartTime);
+        co_await sleepFor(m_settings.restartTime);
         m_incarnation = freshIncarnation();
         m_sequence = 0;
-        m_cancelled.clear();
+        m_cancelledTags.clear();
         m_down = false;
     };
     asio::co_spawn(m_threads.first(), restart, asio::detached);
 }
 
-void stand_in_engine::control(const json_object& body)
+void stand_in_engine::setFaults(const json_object& body)
 {
-    m_stallTransfers = flag(body, "stall_transfers");
-    m_duplicateTokens = flag(body, "duplicate_tokens");
-    m_crossAnswers = flag(body, "cross_answers");
-    m_ignoreCalls = flag(body, "ignore_calls");
-    m_loseToken = flag(body, "lose_token");
-    m_leaving = flag(body, "leaving");
-    m_loseCancels = static_cast<std::uint32_t>(number(body, "lose_cancels"));
-    m_breakAfterTokens = static_cast<std::uint32_t>(number(body, "break_after_tokens"));
-    if (flag(body, "crash"))
+    m_stallTransfers = boolField(body, "stall_transfers");
+    m_duplicateTokens = boolField(body, "duplicate_tokens");
+    m_wrongTags = boolField(body, "cross_answers");
+    m_ignoreCalls = boolField(body, "ignore_calls");
+    m_loseToken = boolField(body, "lose_token");
+    m_leaving = boolField(body, "leaving");
+    m_loseCancels = static_cast<std::uint32_t>(numberField(body, "lose_cancels"));
+    m_crashAfterTokens = static_cast<std::uint32_t>(numberField(body, "break_after_tokens"));
+    if (boolField(body, "crash"))
         crash();
 }
 
 json::object stand_in_engine::stats() const
 {
     json::object body;
-    body["held"] = m_kv.size();
+    body["held"] = m_kvCache.size();
     body["pieces"] = usedPieces();
-    body["batch"] = batch();
+    body["batch"] = batchSize();
     body["prefills"] = m_prefills;
     body["tokens_prefilled"] = m_tokensPrefilled;
-    body["tokens_wasted"] = m_tokensExpired;
-    body["orders"] = m_ordersTaken;
+    body["tokens_wasted"] = m_tokensWasted;
+    body["orders"] = m_ordersAccepted;
     body["crashes"] = m_crashes;
-    body["role"] = m_profile.role;
-    body["version"] = m_profile.version;
-    body["service_runs"] = m_world.serviceRuns;
-    body["key_seen"] = m_world.keySeen;
-    body["loads_peak"] = m_world.loadsPeak;
-    std::uint32_t most = 0;
-    for (const auto& [key, count] : m_world.executions)
-        most = std::max(most, count);
-    body["most_executions"] = most;
+    body["role"] = m_settings.role;
+    body["version"] = m_settings.version;
+    body["service_runs"] = m_shared.serviceExecutions;
+    body["key_seen"] = m_shared.callerKeySeen;
+    body["loads_peak"] = m_shared.peakModelLoads;
+    std::uint32_t maxExecutions = 0;
+    for (const auto& [key, count] : m_shared.executionsByKey)
+        maxExecutions = std::max(maxExecutions, count);
+    body["most_executions"] = maxExecutions;
     return body;
 }
 
 std::uint32_t stand_in_engine::usedPieces() const
 {
     std::uint32_t used = 0;
-    for (const auto& [id, kv] : m_kv)
+    for (const auto& [id, kv] : m_kvCache)
         used += kv.pieces;
     return used;
 }
 
-std::uint32_t stand_in_engine::batch() const
+std::uint32_t stand_in_engine::batchSize() const
 {
     std::uint32_t count = 0;
-    for (const auto& [id, kv] : m_kv)
+    for (const auto& [id, kv] : m_kvCache)
         count += kv.imported ? 1 : 0;
     return count;
 }
 
-json::object stand_in_engine::announcement()
+json::object stand_in_engine::makeAnnouncement()
 {
-    expireKv();
-    auto service = m_running.find("service");
-    auto running = m_profile.role == "service" ? (service == m_running.end() ? 0 : service->second) : batch();
-    m_reports.push_back({ now(), running, m_prefillWaiting + m_importWaiting, usedPieces() });
-    while (m_reports.size() > 1 && m_reports[1].at + m_profile.reportLag <= now())
-        m_reports.pop_front();
-    const auto& report = m_reports.front();
+    removeExpiredKv();
+    auto service = m_runningByTag.find("service");
+    auto running = m_settings.role == "service" ? (service == m_runningByTag.end() ? 0 : service->second) : batchSize();
+    m_recentLoads.push_back({ now(), running, m_prefillWaiting + m_importWaiting, usedPieces() });
+    while (m_recentLoads.size() > 1 && m_recentLoads[1].at + m_settings.reportLag <= now())
+        m_recentLoads.pop_front();
+    const auto& report = m_recentLoads.front();
     json::object body;
-    body["id"] = m_profile.id;
+    body["id"] = m_settings.id;
     body["incarnation"] = m_incarnation;
     body["sequence"] = ++m_sequence;
     body["address"] = address();
-    body["role"] = m_profile.role;
-    body["model"] = m_profile.model;
-    body["version"] = m_profile.version;
-    body["data_centre"] = m_profile.dataCentre;
-    body["slots"] = m_profile.slots;
-    body["memory_pieces"] = m_profile.memoryPieces;
-    body["fencing"] = m_profile.fencing;
+    body["role"] = m_settings.role;
+    body["model"] = m_settings.model;
+    body["version"] = m_settings.version;
+    body["data_centre"] = m_settings.dataCentre;
+    body["slots"] = m_settings.slots;
+    body["memory_pieces"] = m_settings.memoryPieces;
+    body["fencing"] = m_settings.fencing;
     body["fence"] = m_fence;
     body["leaving"] = m_leaving;
     body["running"] = report.running;
     body["waiting"] = report.waiting;
     body["used_pieces"] = report.pieces;
-    body["link_mbps"] = m_profile.linkMbps;
-    body["kv_bytes_per_token"] = m_profile.kvBytesPerToken;
-    body["prefill_tokens_per_s"] = m_profile.prefillTokensPerSecond;
-    body["step_us"] = m_profile.stepMicros + m_profile.stepMicrosPerRequest * m_profile.slots;
-    body["cached_prefixes"] = json::array(m_prefixes.begin(), m_prefixes.end());
+    body["link_mbps"] = m_settings.linkMbps;
+    body["kv_bytes_per_token"] = m_settings.kvBytesPerToken;
+    body["prefill_tokens_per_s"] = m_settings.prefillTokensPerSecond;
+    body["step_us"] = m_settings.stepMicros + m_settings.stepMicrosPerRequest * m_settings.slots;
+    body["cached_prefixes"] = json::array(m_cachedPrefixes.begin(), m_cachedPrefixes.end());
     return body;
 }
 
-task_of<void> stand_in_engine::announceForever()
+task_of<void> stand_in_engine::sendAnnouncements()
 {
-    std::size_t turn = XXH3_64bits(m_profile.id.data(), m_profile.id.size()) % std::max<std::size_t>(1, m_announceTo.size());
-    while (!m_announceTo.empty()) {
-        // One try at each entry in turn, as behind the platform's balancer, until one takes it.
-        for (std::size_t i = 0; i < m_announceTo.size() && !m_down && !m_ignoreCalls; ++i) {
+    std::size_t nextEntry = XXH3_64bits(m_settings.id.data(), m_settings.id.size()) % std::max<std::size_t>(1, m_entryAddresses.size());
+    while (!m_entryAddresses.empty()) {
+        // Tries each entry once, round robin as behind a load balancer, until one accepts the announcement.
+        for (std::size_t i = 0; i < m_entryAddresses.size() && !m_down && !m_ignoreCalls; ++i) {
             http_call call;
             call.target = "/announce";
             call.headers = { { "Content-Type", jsonType } };
-            call.body = json::serialize(announcement());
-            auto target = m_announceTo[turn++ % m_announceTo.size()];
-            auto answer = co_await http_client::fetch(target, call, milliseconds(200), milliseconds(400));
-            if (answer.succeeded())
+            call.body = json::serialize(makeAnnouncement());
+            auto target = m_entryAddresses[nextEntry++ % m_entryAddresses.size()];
+            auto response = co_await http_client::fetch(target, call, milliseconds(200), milliseconds(400));
+            if (response.succeeded())
                 break;
         }
-        co_await pause(announceInterval);
+        co_await sleepFor(announceInterval);
     }
 }
 
--- a/Tests/StandIn/stand_in_engine.h
+++ b/Tests/StandIn/stand_in_engine.h
@@ -9,8 +9,8 @@
 
 namespace pistachiolatch::test {
 
-/// What one stand-in endpoint is; from the stand-in's settings file.
-struct engine_profile {
+/// An [[endpoint]] table of the settings file.
+struct endpoint_settings {
     std::string id;
     std::string listen;
     std::string advertise;
@@ -33,26 +33,26 @@
     bool fencing = true;
 };
 
-/// State that the endpoints of one stand-in process share: what the services did, and the weight store.
-struct shared_world {
-    std::map<std::string, std::uint32_t> executions;
-    std::uint64_t serviceRuns = 0;
-    bool keySeen = false;
-    std::uint32_t loadsNow = 0;
-    std::uint32_t loadsPeak = 0;
+/// State that all endpoints of the process share: the executions of services and the loads from the weight store.
+struct shared_state {
+    std::map<std::string, std::uint32_t> executionsByKey;
+    std::uint64_t serviceExecutions = 0;
+    bool callerKeySeen = false;
+    std::uint32_t activeModelLoads = 0;
+    std::uint32_t peakModelLoads = 0;
 };
 
-/// One endpoint: continuous batching with a cost for prefill and a step for decode, memory in pieces, KV that
-/// expires, load reports with a lag, cancel, orders, and faults that a test switches on. No simulator of anything else.
+/// A simulated endpoint: continuous batching with a prefill time per token and a decode step time, memory in pieces, KV
+/// caches that expire, delayed load reports, cancellation, stage orders, and faults that a test switches on.
 class stand_in_engine {
 public:
-    stand_in_engine(traffic_threads& threads, engine_profile profile, shared_world& world, std::vector<std::string> announceTo);
+    stand_in_engine(traffic_threads& threads, endpoint_settings settings, shared_state& shared, std::vector<std::string> entryAddresses);
 
     result<void> start();
     std::string address() const;
 
 private:
-    struct held_kv {
+    struct kv_cache_entry {
         std::string tag;
         std::string prompt;
         std::uint32_t tokens = 0;
@@ -62,7 +62,7 @@
         std::uint32_t fromIndex = 0;
         time_point expires {};
     };
-    struct reported_load {
+    struct load_sample {
         time_point at;
         std::uint32_t running;
         std::uint32_t waiting;
@@ -70,62 +70,62 @@
     };
     using json_object = boost::json::object;
 
-    task_of<void> handle(http_exchange& exchange);
-    task_of<void> prefill(http_exchange& exchange, json_object body);
-    task_of<void> exportKv(http_exchange& exchange, json_object body);
-    task_of<void> importKv(http_exchange& exchange, json_object body);
-    task_of<void> decode(http_exchange& exchange, json_object body);
-    task_of<void> cancel(http_exchange& exchange, json_object body);
-    task_of<void> order(http_exchange& exchange, json_object body);
-    task_of<void> service(http_exchange& exchange);
-    void control(const json_object& body);
+    task_of<void> handleRequest(http_exchange& exchange);
+    task_of<void> handlePrefill(http_exchange& exchange, json_object body);
+    task_of<void> handleKvExport(http_exchange& exchange, json_object body);
+    task_of<void> handleKvImport(http_exchange& exchange, json_object body);
+    task_of<void> handleDecode(http_exchange& exchange, json_object body);
+    task_of<void> handleCancel(http_exchange& exchange, json_object body);
+    task_of<void> handleOrder(http_exchange& exchange, json_object body);
+    task_of<void> handleService(http_exchange& exchange);
+    void setFaults(const json_object& body);
     json_object stats() const;
-    json_object announcement();
-    task_of<void> announceForever();
-    task_of<void> pause(duration length);
-    task_of<bool> callSource(std::string source, std::string kv, std::string phase, json_object& answer);
+    json_object makeAnnouncement();
+    task_of<void> sendAnnouncements();
+    task_of<void> sleepFor(duration length);
+    task_of<bool> requestKvExport(std::string source, std::string kv, std::string phase, json_object& response);
     void crash();
-    void expireKv();
+    void removeExpiredKv();
     std::uint32_t usedPieces() const;
-    std::uint32_t batch() const;
-    bool dead(std::uint64_t incarnation) const { return m_down || incarnation != m_incarnation; }
+    std::uint32_t batchSize() const;
+    bool hasCrashedSince(std::uint64_t incarnation) const { return m_down || incarnation != m_incarnation; }
 
     traffic_threads& m_threads;
-    engine_profile m_profile;
-    shared_world& m_world;
-    std::vector<std::string> m_announceTo;
+    endpoint_settings m_settings;
+    shared_state& m_shared;
+    std::vector<std::string> m_entryAddresses;
     http_server m_server;
     std::uint64_t m_incarnation;
     std::uint64_t m_sequence = 0;
     std::uint64_t m_fence = 0;
     bool m_down = false;
     bool m_leaving = false;
-    std::map<std::string, held_kv> m_kv;
-    std::set<std::string> m_cancelled;
-    std::map<std::string, std::uint32_t> m_running;
-    std::deque<std::uint64_t> m_prefixes;
-    std::deque<reported_load> m_reports;
+    std::map<std::string, kv_cache_entry> m_kvCache;
+    std::set<std::string> m_cancelledTags;
+    std::map<std::string, std::uint32_t> m_runningByTag;
+    std::deque<std::uint64_t> m_cachedPrefixes;
+    std::deque<load_sample> m_recentLoads;
     time_point m_prefillBusyUntil {};
     time_point m_linkBusyUntil {};
     std::uint32_t m_prefillWaiting = 0;
     std::uint32_t m_importWaiting = 0;
-    std::uint64_t m_lastKv = 0;
+    std::uint64_t m_lastKvNumber = 0;
     std::uint64_t m_tokensPrefilled = 0;
-    std::uint64_t m_tokensExpired = 0;
+    std::uint64_t m_tokensWasted = 0;
     std::uint64_t m_prefills = 0;
-    std::uint64_t m_ordersTaken = 0;
+    std::uint64_t m_ordersAccepted = 0;
     std::uint64_t m_crashes = 0;
     // Faults that a test switches on.
     bool m_stallTransfers = false;
     bool m_duplicateTokens = false;
-    bool m_crossAnswers = false;
+    bool m_wrongTags = false;
     bool m_loseToken = false;
     bool m_ignoreCalls = false;
     std::uint32_t m_loseCancels = 0;
-    std::uint32_t m_breakAfterTokens = 0;
+    std::uint32_t m_crashAfterTokens = 0;
 };
 
-/// A prompt that holds this crashes the endpoint that runs it.
+/// A request that contains this text crashes the endpoint that executes it.
 constexpr const char* crashMark = "CRASH-ENDPOINT";
 
 } // namespace pistachiolatch::test
