--- a/Tests/Soak/soak_checks.cpp
+++ b/Tests/Soak/soak_checks.cpp
@@ -5,37 +5,37 @@
 namespace pistachiolatch::test {
 
 namespace {
-    /// The time within which a withdrawn key must stop working, as the fleet's settings say.
-    constexpr std::chrono::milliseconds withdrawnWithin { 5000 };
-    constexpr soak_checks::steady_time never = soak_checks::steady_time::max();
+    /// How long after its withdrawal a key may still be accepted, as in the settings of the fleet.
+    constexpr std::chrono::milliseconds keyWithdrawalDeadline { 5000 };
+    constexpr soak_checks::steady_time notRestored = soak_checks::steady_time::max();
 
-    bool promisesNotRun(unsigned status)
+    bool guaranteesNotRun(unsigned status)
     {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
 }
 
-void soak_checks::fail(const std::string& what)
+void soak_checks::addFailure(const std::string& what)
 {
     m_failures.push_back(what);
 }
 
-void soak_checks::bookingEnded(const std::string& id, unsigned status)
+void soak_checks::recordBooking(const std::string& id, unsigned status)
 {
     std::lock_guard lock(m_mutex);
     m_bookings[id] = status;
     ++m_counts[fmt::format("booking {}", status)];
 }
 
-void soak_checks::answerCame(const std::string& id, const std::string& body)
+void soak_checks::checkResponse(const std::string& id, const std::string& body)
 {
     std::lock_guard lock(m_mutex);
     ++m_counts["answers"];
     if (body != "answer to " + id)
-        fail(fmt::format("call {} got another answer: {}", id, body));
+        addFailure(fmt::format("call {} got the response of another call: {}", id, body));
 }
 
-void soak_checks::streamEnded(const std::string& id, const std::string& body, int events)
+void soak_checks::checkStream(const std::string& id, const std::string& body, int events)
 {
     std::lock_guard lock(m_mutex);
     ++m_counts["streams"];
@@ -43,65 +43,65 @@
     for (int i = 0; i < events; ++i)
         expected += fmt::format("id: {}\ndata: piece {}\n\n", i, i);
     if (body != expected)
-        fail(fmt::format("stream {} ended as whole with: {}", id, body));
+        addFailure(fmt::format("stream {} was reported as complete with: {}", id, body));
 }
 
-void soak_checks::acknowledged(std::uint64_t version)
+void soak_checks::recordAcknowledged(std::uint64_t version)
 {
     std::lock_guard lock(m_mutex);
     ++m_counts["changes"];
-    m_acknowledged = std::max(m_acknowledged, version);
+    m_acknowledgedVersion = std::max(m_acknowledgedVersion, version);
 }
 
-std::uint64_t soak_checks::newestAcknowledged() const
+std::uint64_t soak_checks::newestAcknowledgedVersion() const
 {
     std::lock_guard lock(m_mutex);
-    return m_acknowledged;
+    return m_acknowledgedVersion;
 }
 
-void soak_checks::readBack(std::uint64_t version, std::uint64_t acknowledgedBefore)
+void soak_checks::checkRead(std::uint64_t version, std::uint64_t acknowledgedBefore)
 {
     std::lock_guard lock(m_mutex);
     ++m_counts["reads of the configuration"];
     if (version < acknowledgedBefore)
-        fail(fmt::format("version {} was read after {} had been acknowledged", version, acknowledgedBefore));
+        addFailure(fmt::format("version {} was read after {} had been acknowledged", version, acknowledgedBefore));
 }
 
-void soak_checks::keyWithdrawn(steady_time at)
+void soak_checks::recordKeyWithdrawn(steady_time at)
 {
     std::lock_guard lock(m_mutex);
-    if (m_withdrawn.empty() || m_withdrawn.back().second != never)
-        m_withdrawn.emplace_back(at, never);
+    if (m_withdrawnPeriods.empty() || m_withdrawnPeriods.back().second != notRestored)
+        m_withdrawnPeriods.emplace_back(at, notRestored);
 }
 
-void soak_checks::keyGiven()
+void soak_checks::recordKeyRestored()
 {
     std::lock_guard lock(m_mutex);
-    if (!m_withdrawn.empty() && m_withdrawn.back().second == never)
-        m_withdrawn.back().second = std::chrono::steady_clock::now();
+    if (!m_withdrawnPeriods.empty() && m_withdrawnPeriods.back().second == notRestored)
+        m_withdrawnPeriods.back().second = std::chrono::steady_clock::now();
 }
 
-void soak_checks::servedWithKey(steady_time sentAt)
+void soak_checks::checkKeyAccepted(steady_time sentAt)
 {
     std::lock_guard lock(m_mutex);
-    for (const auto& [from, to] : m_withdrawn) {
-        if (sentAt > from + withdrawnWithin && sentAt < to)
-            fail("a call was served with a key that had been withdrawn for too long");
+    for (const auto& [from, to] : m_withdrawnPeriods) {
+        if (sentAt > from + keyWithdrawalDeadline && sentAt < to)
+            addFailure("a call was served with a key after the deadline of its withdrawal");
     }
 }
 
-void soak_checks::compareRuns(const std::map<std::string, int>& runs)
+void soak_checks::checkExecutions(const std::map<std::string, int>& runs)
 {
     std::lock_guard lock(m_mutex);
     for (const auto& [id, status] : m_bookings) {
         auto found = runs.find(id);
-        int ran = found == runs.end() ? 0 : found->second;
-        if (ran > 1)
-            fail(fmt::format("booking {} ran {} times", id, ran));
-        if (ran > 0 && promisesNotRun(status))
-            fail(fmt::format("booking {} was answered {} and ran", id, status));
-        if (ran == 0 && status == 200)
-            fail(fmt::format("booking {} was answered 200 and did not run", id));
+        int executions = found == runs.end() ? 0 : found->second;
+        if (executions > 1)
+            addFailure(fmt::format("booking {} ran {} times", id, executions));
+        if (executions > 0 && guaranteesNotRun(status))
+            addFailure(fmt::format("booking {} was rejected with {} but ran", id, status));
+        if (executions == 0 && status == 200)
+            addFailure(fmt::format("booking {} was answered with 200 but did not run", id));
     }
 }
 
--- a/Tests/Soak/soak_checks.h
+++ b/Tests/Soak/soak_checks.h
@@ -8,30 +8,30 @@
 
 namespace pistachiolatch::test {
 
-/// What the soak's clients and operator saw, and the promises that it must agree with. Thread safety: any thread.
+/// Records what clients and the operator observe and checks it against the system's guarantees. Thread-safe.
 class soak_checks {
 public:
     using steady_time = std::chrono::steady_clock::time_point;
 
-    /// A call that must run at most once ended with this status; 0 when no whole answer came.
-    void bookingEnded(const std::string& id, unsigned status);
-    /// A whole answer arrived. Whose id it names must be the caller's.
-    void answerCame(const std::string& id, const std::string& body);
-    /// A stream ended as whole with these events.
-    void streamEnded(const std::string& id, const std::string& body, int events);
-    /// The operator's change was acknowledged.
-    void acknowledged(std::uint64_t version);
-    std::uint64_t newestAcknowledged() const;
-    /// A read that was sent when `acknowledgedBefore` was the newest acknowledged version returned this one.
-    void readBack(std::uint64_t version, std::uint64_t acknowledgedBefore);
-    /// A key was taken away by a change that was acknowledged now, or given back by one sent now.
-    void keyWithdrawn(steady_time at);
-    void keyGiven();
-    /// A call with the key that comes and goes was sent then, and was answered by an endpoint.
-    void servedWithKey(steady_time sentAt);
-    /// Compares with how often the endpoints ran each call.
-    void compareRuns(const std::map<std::string, int>& runs);
-    void fail(const std::string& what);
+    /// Records the status of a call that must run at most once; 0 means that no complete response arrived.
+    void recordBooking(const std::string& id, unsigned status);
+    /// Checks that a complete response names the id of its own call.
+    void checkResponse(const std::string& id, const std::string& body);
+    /// Checks that a stream reported as complete contains all of its events in order.
+    void checkStream(const std::string& id, const std::string& body, int events);
+    /// Records that a configuration change was acknowledged.
+    void recordAcknowledged(std::uint64_t version);
+    std::uint64_t newestAcknowledgedVersion() const;
+    /// Checks the version that a read returned against the newest one that was acknowledged before the read was sent.
+    void checkRead(std::uint64_t version, std::uint64_t acknowledgedBefore);
+    /// Records when the change that removes the second key was acknowledged, and when the one that restores it is sent.
+    void recordKeyWithdrawn(steady_time at);
+    void recordKeyRestored();
+    /// Checks a call that was served with the second key against the periods in which that key was withdrawn.
+    void checkKeyAccepted(steady_time sentAt);
+    /// Checks the bookings against how often the endpoints executed each of them.
+    void checkExecutions(const std::map<std::string, int>& runs);
+    void addFailure(const std::string& what);
 
     std::vector<std::string> failures() const;
     std::map<std::string, int> counts() const;
@@ -41,8 +41,8 @@
     std::vector<std::string> m_failures;
     std::map<std::string, unsigned> m_bookings;
     std::map<std::string, int> m_counts;
-    std::uint64_t m_acknowledged = 0;
-    std::vector<std::pair<steady_time, steady_time>> m_withdrawn;
+    std::uint64_t m_acknowledgedVersion = 0;
+    std::vector<std::pair<steady_time, steady_time>> m_withdrawnPeriods;
 };
 
 } // namespace pistachiolatch::test
