--- a/Tests/Bench/decision_bench.cpp
+++ b/Tests/Bench/decision_bench.cpp
@@ -1,4 +1,4 @@
-// Measures what decisions and state cost against their number, for docs/CAPACITY.md. Prints a Markdown table.
+// Measures the time of decisions and the size of state by fleet size, for docs/CAPACITY.md. Prints a Markdown table.
 #include "limits/limits.h"
 #include "records/records.h"
 #include "scheduling/scheduling.h"
@@ -12,12 +12,12 @@
 using namespace pistachiolatch;
 
 namespace {
-double microsOf(int times, const std::function<void(int)>& work)
+double measureMicros(int repetitions, const std::function<void(int)>& work)
 {
     auto begin = std::chrono::steady_clock::now();
-    for (int i = 0; i < times; ++i)
+    for (int i = 0; i < repetitions; ++i)
         work(i);
-    return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() / times;
+    return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count() / repetitions;
 }
 
 std::size_t heapBytes()
@@ -25,12 +25,12 @@
     return mallinfo2().uordblks;
 }
 
-void row(const std::string& what, std::size_t size, double value, const char* unit)
+void printRow(const std::string& what, std::size_t size, double value, const char* unit)
 {
     fmt::print("| {} | {} | {:.2f} | {} |\n", what, size, value, unit);
 }
 
-wire::endpoint_announcement announcement(std::size_t number, const char* role, std::uint64_t sequence)
+wire::endpoint_announcement makeAnnouncement(std::size_t number, const char* role, std::uint64_t sequence)
 {
     wire::endpoint_announcement endpoint;
     endpoint.set_id(fmt::format("{}-{}", role, number));
@@ -49,22 +49,22 @@
     return endpoint;
 }
 
-pool_request request(int number, const std::string& organisation)
+pool_request makeRequest(int number, const std::string& organisation)
 {
-    pool_request one;
-    one.place.set_shard("model:advisor-llm");
-    one.place.set_request_id(fmt::format("vm1.{:024}", number));
-    one.place.set_organisation(organisation);
-    one.place.set_prompt_tokens(1000);
-    one.place.set_max_tokens(100);
-    one.place.set_patience_ms(5000);
-    one.place.set_fingerprint(static_cast<std::uint64_t>(number));
-    one.entryName = "vm1";
-    one.entryAddress = "10.11.12.1:7101";
-    return one;
+    pool_request request;
+    request.place.set_shard("model:advisor-llm");
+    request.place.set_request_id(fmt::format("vm1.{:024}", number));
+    request.place.set_organisation(organisation);
+    request.place.set_prompt_tokens(1000);
+    request.place.set_max_tokens(100);
+    request.place.set_patience_ms(5000);
+    request.place.set_fingerprint(static_cast<std::uint64_t>(number));
+    request.entryName = "vm1";
+    request.entryAddress = "10.11.12.1:7101";
+    return request;
 }
 
-void finish(pool& decisions, const wire::placement& placement, time_point now)
+void finishRequest(pool& decisions, const wire::placement& placement, time_point now)
 {
     wire::progress report;
     report.set_request_id(placement.request_id());
@@ -80,21 +80,21 @@
     auto before = heapBytes();
     pool decisions("model:advisor-llm", pool_kind::Model, {}, {});
     for (std::size_t i = 0; i < endpoints; ++i)
-        decisions.announce(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
+        decisions.announce(makeAnnouncement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
     if (organisations == 1)
-        row("pool: bytes an endpoint", endpoints, static_cast<double>(heapBytes() - before) / static_cast<double>(endpoints), "bytes");
-    auto micros = microsOf(400, [&](int i) {
-        decisions.place(request(i, fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations)), clock.now());
+        printRow("pool: bytes an endpoint", endpoints, static_cast<double>(heapBytes() - before) / static_cast<double>(endpoints), "bytes");
+    auto averageMicros = measureMicros(400, [&](int i) {
+        decisions.place(makeRequest(i, fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations)), clock.now());
         for (const auto& decision : decisions.decide(clock.now()))
-            finish(decisions, decision.placement, clock.now());
+            finishRequest(decisions, decision.placement, clock.now());
     });
-    row(organisations == 1 ? "pool: a request placed and finished, by endpoints" : "pool: a request placed and finished, by organisations (100 endpoints)", organisations == 1 ? endpoints : organisations, micros, "us");
+    printRow(organisations == 1 ? "pool: a request placed and finished, by endpoints" : "pool: a request placed and finished, by organisations (100 endpoints)", organisations == 1 ? endpoints : organisations, averageMicros, "us");
     if (organisations > 1)
         return;
-    auto again = microsOf(2000, [&](int i) {
-        decisions.announce(announcement(static_cast<std::size_t>(i) % endpoints, "decode", 2 + static_cast<std::uint64_t>(i)), milliseconds(0), clock.now());
+    auto announceMicros = measureMicros(2000, [&](int i) {
+        decisions.announce(makeAnnouncement(static_cast<std::size_t>(i) % endpoints, "decode", 2 + static_cast<std::uint64_t>(i)), milliseconds(0), clock.now());
     });
-    row("pool: an announcement taken", endpoints, again, "us");
+    printRow("pool: an announcement taken", endpoints, announceMicros, "us");
 }
 
 void measureInFlight()
@@ -104,14 +104,14 @@
     settings.policy = "round_robin";
     pool decisions("model:advisor-llm", pool_kind::Model, settings, {});
     for (std::size_t i = 0; i < 30; ++i)
-        decisions.announce(announcement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
+        decisions.announce(makeAnnouncement(i, i % 3 == 0 ? "prefill" : "decode", 1), milliseconds(0), clock.now());
     constexpr int requests = 10000;
     auto before = heapBytes();
     for (int i = 0; i < requests; ++i) {
-        decisions.place(request(i, "alpha"), clock.now());
+        decisions.place(makeRequest(i, "alpha"), clock.now());
         decisions.decide(clock.now());
     }
-    row("pool: bytes a request in flight", requests, static_cast<double>(heapBytes() - before) / requests, "bytes");
+    printRow("pool: bytes a request in flight", requests, static_cast<double>(heapBytes() - before) / requests, "bytes");
 }
 
 void measureLimits(std::size_t organisations)
@@ -121,16 +121,16 @@
     limit_owner owner(clock.now());
     for (std::size_t i = 0; i < organisations; ++i)
         owner.configure(fmt::format("organisation-{}", i), 1000000, 1000000, clock.now());
-    row("limits: bytes an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
+    printRow("limits: bytes an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
     clock.advance(milliseconds(1000));
-    auto ask = microsOf(5000, [&](int i) {
+    auto requestMicros = measureMicros(5000, [&](int i) {
         owner.ask({ fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations), 100, 100, milliseconds(100), static_cast<std::uint64_t>(i) }, clock.now());
     });
-    row("limits: a question", organisations, ask, "us");
-    row("limits: one step over all buckets", organisations, microsOf(50, [&](int) { owner.step(clock.now()); }), "us");
+    printRow("limits: a question", organisations, requestMicros, "us");
+    printRow("limits: one step over all buckets", organisations, measureMicros(50, [&](int) { owner.step(clock.now()); }), "us");
 }
 
-std::vector<wire::record> recordsOf(std::size_t organisations)
+std::vector<wire::record> makeRecords(std::size_t organisations)
 {
     std::vector<wire::record> records;
     for (std::size_t i = 0; i < organisations; ++i) {
@@ -156,14 +156,14 @@
 
 void measureConfig(std::size_t organisations)
 {
-    auto records = recordsOf(organisations);
+    auto records = makeRecords(organisations);
     std::vector<std::string> problems;
     auto before = heapBytes();
     std::shared_ptr<const config_view> view = std::make_shared<config_view>();
     view = config_view::after(*view, 1, records, problems);
-    row("entry: bytes of configuration an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
-    row("entry: one change applied", organisations, microsOf(5, [&](int i) { view = config_view::after(*view, 2 + static_cast<std::uint64_t>(i), { records.front() }, problems); }), "us");
-    row("entry: a key looked up", organisations, microsOf(20000, [&](int i) { (void)view->keyByDigest(sha256Hex(fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations))); }), "us");
+    printRow("entry: bytes of configuration an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
+    printRow("entry: one change applied", organisations, measureMicros(5, [&](int i) { view = config_view::after(*view, 2 + static_cast<std::uint64_t>(i), { records.front() }, problems); }), "us");
+    printRow("entry: a key looked up", organisations, measureMicros(20000, [&](int i) { (void)view->keyByDigest(sha256Hex(fmt::format("organisation-{}", static_cast<std::size_t>(i) % organisations))); }), "us");
 
     before = heapBytes();
     control_state state;
@@ -171,23 +171,23 @@
     for (const auto& record : records)
         *command.mutable_submit()->add_records() = record;
     state.apply(command);
-    row("control: bytes of state an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
+    printRow("control: bytes of state an organisation", organisations, static_cast<double>(heapBytes() - before) / static_cast<double>(organisations), "bytes");
     std::string image;
-    row("control: a snapshot made", organisations, microsOf(2, [&](int) { image = state.save(); }), "us");
-    row("control: bytes of a snapshot an organisation", organisations, static_cast<double>(image.size()) / static_cast<double>(organisations), "bytes");
-    row("control: records changed since a revision found", organisations, microsOf(20, [&](int) { (void)state.recordsAfter(1); }), "us");
+    printRow("control: a snapshot made", organisations, measureMicros(2, [&](int) { image = state.save(); }), "us");
+    printRow("control: bytes of a snapshot an organisation", organisations, static_cast<double>(image.size()) / static_cast<double>(organisations), "bytes");
+    printRow("control: records changed since a revision found", organisations, measureMicros(20, [&](int) { (void)state.recordsAfter(1); }), "us");
 }
 
 void measureSessions(std::size_t processes)
 {
     manual_clock_source clock;
     session_table sessions(clock.now());
-    wire::session_heartbeat beat;
-    auto micros = microsOf(20000, [&](int i) {
-        beat.set_kind(i % 2 ? wire::PROCESS_ENTRY : wire::PROCESS_SCHEDULER);
-        sessions.heartbeat(fmt::format("vm{}", static_cast<std::size_t>(i) % processes), 1, "10.11.12.13:7101", beat, clock.now());
+    wire::session_heartbeat heartbeat;
+    auto averageMicros = measureMicros(20000, [&](int i) {
+        heartbeat.set_kind(i % 2 ? wire::PROCESS_ENTRY : wire::PROCESS_SCHEDULER);
+        sessions.heartbeat(fmt::format("vm{}", static_cast<std::size_t>(i) % processes), 1, "10.11.12.13:7101", heartbeat, clock.now());
     });
-    row("control: a heartbeat taken", processes, micros, "us");
+    printRow("control: a heartbeat taken", processes, averageMicros, "us");
 }
 
 void measureMessages()
@@ -198,29 +198,29 @@
     place.set_sender_incarnation(1);
     place.set_sequence(100000);
     place.set_call(100000);
-    *place.mutable_place() = request(1, "organisation-1234").place;
-    row("message: a place request", 1, static_cast<double>(place.ByteSizeLong()), "bytes");
+    *place.mutable_place() = makeRequest(1, "organisation-1234").place;
+    printRow("message: a place request", 1, static_cast<double>(place.ByteSizeLong()), "bytes");
     wire::envelope progress = place;
     progress.clear_place();
     progress.mutable_progress()->set_shard("model:advisor-llm");
     progress.mutable_progress()->set_request_id(fmt::format("vm1.{:024}", 1));
-    row("message: a progress report", 1, static_cast<double>(progress.ByteSizeLong()), "bytes");
+    printRow("message: a progress report", 1, static_cast<double>(progress.ByteSizeLong()), "bytes");
     wire::envelope announce = place;
     announce.clear_place();
-    *announce.mutable_announce()->mutable_endpoint() = announcement(1234, "decode", 100000);
-    row("message: an announcement forwarded", 1, static_cast<double>(announce.ByteSizeLong()), "bytes");
+    *announce.mutable_announce()->mutable_endpoint() = makeAnnouncement(1234, "decode", 100000);
+    printRow("message: an announcement forwarded", 1, static_cast<double>(announce.ByteSizeLong()), "bytes");
     wire::envelope limit = place;
     limit.clear_place();
     limit.mutable_limit()->set_shard("limit:1");
     limit.mutable_limit()->set_organisation("organisation-1234");
     limit.mutable_limit()->set_need(2000);
-    row("message: a limit question", 1, static_cast<double>(limit.ByteSizeLong()), "bytes");
-    wire::envelope beat = place;
-    beat.clear_place();
-    beat.mutable_heartbeat()->set_data_centre("riga-a");
-    beat.mutable_heartbeat()->set_applied_revision(100000);
-    beat.mutable_heartbeat()->set_sent_ns(1LL << 50);
-    row("message: a heartbeat", 1, static_cast<double>(beat.ByteSizeLong()), "bytes");
+    printRow("message: a limit question", 1, static_cast<double>(limit.ByteSizeLong()), "bytes");
+    wire::envelope heartbeat = place;
+    heartbeat.clear_place();
+    heartbeat.mutable_heartbeat()->set_data_centre("riga-a");
+    heartbeat.mutable_heartbeat()->set_applied_revision(100000);
+    heartbeat.mutable_heartbeat()->set_sent_ns(1LL << 50);
+    printRow("message: a heartbeat", 1, static_cast<double>(heartbeat.ByteSizeLong()), "bytes");
 }
 }
 
--- a/Tests/Bench/latency_bench.cpp
+++ b/Tests/Bench/latency_bench.cpp
@@ -1,5 +1,5 @@
-// Measures what the path through an entry adds to a call, against calling the stand-in straight: the same call in turn,
-// straight and through the entry, then as many as 32 callers at once get through. Prints a Markdown table.
+// Measures the latency that an entry adds to a call: makes the same call alternately to the stand-in directly and through
+// the entry, then measures the throughput of 32 concurrent callers on each route. Prints a Markdown table.
 #include "http/http.h"
 
 #include <algorithm>
@@ -15,77 +15,77 @@
     std::string address;
     std::string target;
     std::string key;
-    std::vector<double> millis {};
-    std::size_t answered = 0;
+    std::vector<double> latenciesMs {};
+    std::size_t completedCalls = 0;
 };
 
-task_of<void> callOnce(route& one)
+task_of<void> callOnce(route& measured)
 {
     http_call call;
     call.method = "GET";
-    call.target = one.target;
-    if (!one.key.empty())
-        call.headers = { { "Authorization", "Bearer " + one.key } };
+    call.target = measured.target;
+    if (!measured.key.empty())
+        call.headers = { { "Authorization", "Bearer " + measured.key } };
     auto begin = std::chrono::steady_clock::now();
-    auto answer = co_await http_client::fetch(one.address, call, milliseconds(1000), milliseconds(5000));
-    if (!answer.succeeded())
+    auto response = co_await http_client::fetch(measured.address, call, milliseconds(1000), milliseconds(5000));
+    if (!response.succeeded())
         co_return;
-    ++one.answered;
-    one.millis.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count());
+    ++measured.completedCalls;
+    measured.latenciesMs.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count());
 }
 
-task_of<void> callInTurn(std::vector<route>& routes, int rounds)
+task_of<void> callAlternately(std::vector<route>& routes, int rounds)
 {
     for (int i = 0; i < rounds; ++i) {
-        for (auto& one : routes)
-            co_await callOnce(one);
+        for (auto& measured : routes)
+            co_await callOnce(measured);
     }
 }
 
-task_of<void> callUntil(route& one, std::chrono::steady_clock::time_point end)
+task_of<void> callUntil(route& measured, std::chrono::steady_clock::time_point end)
 {
     while (std::chrono::steady_clock::now() < end)
-        co_await callOnce(one);
+        co_await callOnce(measured);
 }
 
-double at(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     std::sort(values.begin(), values.end());
-    return values.empty() ? 0 : values[std::min(values.size() - 1, static_cast<std::size_t>(part * static_cast<double>(values.size())))];
+    return values.empty() ? 0 : values[std::min(values.size() - 1, static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
 }
 }
 
 int main(int argc, char** argv)
 {
     CLI::App app("Measures the latency that an entry adds.", "latency-bench");
-    route straight { "straight", "", "/stock", "" };
-    route through { "through an entry", "", "/services/orderdesk/stock", "" };
-    app.add_option("--straight", straight.address)->required();
-    app.add_option("--entry", through.address)->required();
-    app.add_option("--key", through.key)->required();
+    route direct { "straight", "", "/stock", "" };
+    route viaEntry { "through an entry", "", "/services/orderdesk/stock", "" };
+    app.add_option("--straight", direct.address)->required();
+    app.add_option("--entry", viaEntry.address)->required();
+    app.add_option("--key", viaEntry.key)->required();
     CLI11_PARSE(app, argc, argv);
-    std::vector<route> routes { straight, through };
+    std::vector<route> routes { direct, viaEntry };
     boost::asio::io_context context;
     constexpr int rounds = 2000;
-    boost::asio::co_spawn(context, callInTurn(routes, rounds), boost::asio::detached);
+    boost::asio::co_spawn(context, callAlternately(routes, rounds), boost::asio::detached);
     context.run();
     fmt::print("| route | calls | p50 ms | p99 ms | calls/s of 32 callers |\n|---|---|---|---|---|\n");
-    std::vector<std::pair<double, double>> figures;
-    for (auto& one : routes) {
-        auto p50 = at(one.millis, 0.5);
-        auto p99 = at(one.millis, 0.99);
-        auto calls = one.answered;
-        one.answered = 0;
+    std::vector<std::pair<double, double>> percentiles;
+    for (auto& measured : routes) {
+        auto p50 = percentile(measured.latenciesMs, 0.5);
+        auto p99 = percentile(measured.latenciesMs, 0.99);
+        auto calls = measured.completedCalls;
+        measured.completedCalls = 0;
         context.restart();
-        constexpr std::chrono::seconds length { 3 };
+        constexpr std::chrono::seconds benchDuration { 3 };
         constexpr int callers = 32;
-        auto end = std::chrono::steady_clock::now() + length;
+        auto end = std::chrono::steady_clock::now() + benchDuration;
         for (int i = 0; i < callers; ++i)
-            boost::asio::co_spawn(context, callUntil(one, end), boost::asio::detached);
+            boost::asio::co_spawn(context, callUntil(measured, end), boost::asio::detached);
         context.run();
-        fmt::print("| {} | {} | {:.2f} | {:.2f} | {:.0f} |\n", one.name, calls, p50, p99, static_cast<double>(one.answered) / length.count());
-        figures.emplace_back(p50, p99);
+        fmt::print("| {} | {} | {:.2f} | {:.2f} | {:.0f} |\n", measured.name, calls, p50, p99, static_cast<double>(measured.completedCalls) / benchDuration.count());
+        percentiles.emplace_back(p50, p99);
     }
-    fmt::print("| added (through less straight) | | {:.2f} | {:.2f} | |\n| ratio | | {:.2f} | {:.2f} | |\n", figures[1].first - figures[0].first, figures[1].second - figures[0].second, figures[1].first / figures[0].first, figures[1].second / figures[0].second);
+    fmt::print("| added (through less straight) | | {:.2f} | {:.2f} | |\n| ratio | | {:.2f} | {:.2f} | |\n", percentiles[1].first - percentiles[0].first, percentiles[1].second - percentiles[0].second, percentiles[1].first / percentiles[0].first, percentiles[1].second / percentiles[0].second);
     return 0;
 }
--- a/Tests/Fuzz/FuzzTest.cpp
+++ b/Tests/Fuzz/FuzzTest.cpp
@@ -12,70 +12,70 @@
 using namespace pistachiolatch;
 
 namespace {
-/// Changes a text by flips, cuts, repeats and insertions.
+/// Applies one to six random mutations: overwritten bytes, deletions, inserted fragments and repetitions.
 std::string mutate(std::string text, std::mt19937_64& random)
 {
-    static const std::vector<std::string> pieces { "{", "}", "[", "]", "\"", "\\", "null", "-1", "1e999", "\xff", std::string(1, '\0'), "99999999999999999999", "\\ud800" };
-    for (auto changes = 1 + random() % 6; changes > 0; --changes) {
-        auto at = text.empty() ? 0 : random() % text.size();
+    static const std::vector<std::string> fragments { "{", "}", "[", "]", "\"", "\\", "null", "-1", "1e999", "\xff", std::string(1, '\0'), "99999999999999999999", "\\ud800" };
+    for (auto mutations = 1 + random() % 6; mutations > 0; --mutations) {
+        auto position = text.empty() ? 0 : random() % text.size();
         switch (random() % 4) {
         case 0:
             if (!text.empty())
-                text[at] = static_cast<char>(random());
+                text[position] = static_cast<char>(random());
             break;
         case 1:
-            text.erase(at, random() % 8);
+            text.erase(position, random() % 8);
             break;
         case 2:
-            text.insert(at, pieces[random() % pieces.size()]);
+            text.insert(position, fragments[random() % fragments.size()]);
             break;
         default:
-            text.insert(at, text.substr(at, random() % 32));
+            text.insert(position, text.substr(position, random() % 32));
             break;
         }
     }
     return text;
 }
 
-constexpr int rounds = 20000;
+constexpr int iterations = 20000;
 }
 
-TEST_CASE("Mutated bodies of callers never do more than fail")
+TEST_CASE("Mutated request bodies are parsed or rejected with a message")
 {
     std::mt19937_64 random(1);
     const std::string completion = R"({"model":"m","prompt":"hello","max_tokens":5,"stream":true,"temperature":0.5})";
     const std::string chat = R"({"model":"m","messages":[{"role":"user","content":"hello"},{"role":"system","content":"x"}],"n":1})";
-    int accepted = 0;
-    for (int i = 0; i < rounds; ++i) {
+    int parsedCount = 0;
+    for (int i = 0; i < iterations; ++i) {
         auto request = parseCompletion(mutate(i % 2 ? chat : completion, random), i % 2 != 0);
         if (!request) {
             CHECK(!request.error().message.empty());
             continue;
         }
-        ++accepted;
+        ++parsedCount;
         CHECK(!request.value().model.empty());
         CHECK(request.value().maxTokens <= 1000000);
     }
-    CHECK(accepted > 0);
+    CHECK(parsedCount > 0);
 }
 
-TEST_CASE("Mutated announcements never do more than fail")
+TEST_CASE("Mutated announcements are parsed or rejected")
 {
     std::mt19937_64 random(2);
     const std::string valid = R"({"id":"d1","incarnation":18446744073709551615,"sequence":1,"address":"127.0.0.1:9000","role":"decode","model":"m","slots":20,"cached_prefixes":[1,2]})";
     REQUIRE(parseAnnouncement(valid));
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < iterations; ++i) {
         auto announcement = parseAnnouncement(mutate(valid, random));
         if (announcement)
             CHECK(isAddress(announcement.value().address()));
     }
 }
 
-TEST_CASE("Mutated records never come into force unless they are valid")
+TEST_CASE("Mutated records are accepted only if they are valid")
 {
     std::mt19937_64 random(3);
     const std::string body = R"({"burst":1000,"rate":1000})";
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < iterations; ++i) {
         wire::record record;
         record.set_kind("limit");
         record.set_name("alpha");
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("Mutated frames between processes are refused or parsed, never worse")
+TEST_CASE("Mutated messages between processes and snapshots are parsed or rejected")
 {
     google::protobuf::SetLogHandler(nullptr);
     std::mt19937_64 random(4);
@@ -100,7 +100,7 @@
     envelope.mutable_raft()->mutable_snapshot()->set_state("state");
     auto bytes = envelope.SerializeAsString();
     raft_core core([] { wire::replica_id id; id.set_vm("vm1"); return id; }(), {}, 1, {}, time_point {});
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < iterations; ++i) {
         wire::envelope parsed;
         if (parsed.ParseFromString(mutate(bytes, random)) && parsed.has_raft())
             core.step(parsed.raft(), time_point {});
@@ -109,8 +109,8 @@
     }
 }
 
-// Any damage to the log must end in a prefix of what was written or in a refusal; never in other entries.
-TEST_CASE("A mutated log gives a prefix or a refusal")
+// A damaged log must yield a prefix of the written entries or fail to open; it must never yield other entries.
+TEST_CASE("A mutated log yields a prefix of its entries or fails to open")
 {
     std::mt19937_64 random(5);
     auto folder = (std::filesystem::temp_directory_path() / ("pistachiolatch-fuzz-" + std::to_string(::getpid()))).string();
@@ -131,24 +131,24 @@
     }
     std::ifstream file(folder + "/log", std::ios::binary);
     std::string valid((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 400; ++i) {
         std::ofstream(folder + "/log", std::ios::binary) << mutate(valid, random);
         file_log_store store;
         auto replica = store.open(folder);
         if (!replica) {
-            ++refused;
+            ++rejected;
             continue;
         }
         const auto& entries = replica.value().restored.entries;
         for (std::size_t n = 0; n < entries.size(); ++n)
             REQUIRE((entries[n].index() == n + 1 && entries[n].data().size() == (n + 1) * 3));
     }
-    CHECK(refused > 200);
+    CHECK(rejected > 200);
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("A settings or record file of any bytes is refused with a message")
+TEST_CASE("A mutated settings file is read or rejected with a message that names the file")
 {
     std::mt19937_64 random(6);
     auto path = (std::filesystem::temp_directory_path() / ("pistachiolatch-fuzz-" + std::to_string(::getpid()) + ".toml")).string();
