--- a/Tests/Platform/PlatformSessionTest.cpp
+++ b/Tests/Platform/PlatformSessionTest.cpp
@@ -21,7 +21,7 @@
     {
     }
 
-    simple_answer call(const std::string& title, const std::string& method, const std::string& target, http_headers headers = {}, const std::string& body = {}, bool withKey = true)
+    simple_response call(const std::string& title, const std::string& method, const std::string& target, http_headers headers = {}, const std::string& body = {}, bool withKey = true)
     {
         headers.emplace_back("Host", "h.example");
         headers.emplace_back(platform_names::requestId, fmt::format("id-{}", ++m_requestCount));
@@ -183,7 +183,7 @@
         fleet.control(n).kill();
     for (int n = 1; n <= 3; ++n)
         fleet.startControl(n, false);
-    simple_answer current;
+    simple_response current;
     REQUIRE(eventually([&] {
         current = fleet.call(fleet.controlAddress(2), "GET", platform_names::configurationPath);
         return current.status == 200;
@@ -202,7 +202,7 @@
     REQUIRE(fleet.submitConfiguration(exampleConfiguration(7)) == 200);
     REQUIRE(fleet.sendReport(decode).status == 200);
     REQUIRE(eventually([&] { return fleet.isEntryReady(1); }));
-    simple_answer answer;
+    simple_response answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = fleet.call(fleet.entryAddress(1), "POST", "/once/x", headers, "the prompt");
@@ -227,7 +227,7 @@
     REQUIRE(fleet.submitConfiguration(exampleConfiguration(7)) == 200);
     REQUIRE(fleet.sendReport(decode).status == 200);
     REQUIRE(eventually([&] { return fleet.isEntryReady(1); }));
-    simple_answer answer;
+    simple_response answer;
     std::thread caller([&] {
         http_headers headers { { "Host", "h.example" }, { platform_names::authorization, "Token key-1" }, { platform_names::requestId, "one" }, { platform_names::tokenUsage, "500,432" } };
         answer = fleet.call(fleet.entryAddress(1), "POST", "/report/x", headers, "the prompt");
--- a/Tests/Platform/platform_fleet.h
+++ b/Tests/Platform/platform_fleet.h
@@ -36,10 +36,10 @@
     /// Deletes the data of a control process. Precondition: it is not running.
     void eraseControlData(int n) const;
     /// Sends a request and reads the response, which is marked as broken if it is incomplete.
-    simple_answer call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
+    simple_response call(const std::string& address, const std::string& method, const std::string& target, const http_headers& headers = {},
         const std::string& body = {}, milliseconds timeout = milliseconds(20000)) const;
     /// Sends an endpoint's status report to a control process.
-    simple_answer sendReport(fake_endpoint& endpoint, const std::string& state = "ready", int control = 1) const;
+    simple_response sendReport(fake_endpoint& endpoint, const std::string& state = "ready", int control = 1) const;
     /// Submits a configuration, with retries until it is acknowledged or rejected. Returns the last status.
     unsigned submitConfiguration(const std::string& body) const;
     bool isEntryReady(int n) const;
--- a/Tests/Promises/AtMostOnceTest.cpp
+++ b/Tests/Promises/AtMostOnceTest.cpp
@@ -8,9 +8,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape slowServiceOptions()
+fleet_options slowServiceOptions()
 {
-    fleet_shape options;
+    fleet_options options;
     options.endpointLines = "service_ms = 400\n";
     return options;
 }
@@ -22,7 +22,7 @@
 {
     fleet testFleet(slowServiceOptions());
     testFleet.start();
-    std::vector<std::future<simple_answer>> duplicates;
+    std::vector<std::future<simple_response>> duplicates;
     for (int i = 0; i < 9; ++i)
         duplicates.push_back(std::async(std::launch::async, [&testFleet, i] { return testFleet.book(i % 3 + 1, "hire-7", R"({"kit":7})"); }));
     for (auto& duplicate : duplicates) {
@@ -85,7 +85,7 @@
     CHECK(resent.status == 409);
     CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
     // Reads are idempotent: while one endpoint restarts, another responds.
-    auto read = testFleet.call(testFleet.callers(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
+    auto read = testFleet.call(testFleet.callerAddress(1), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
     CHECK(read.status == 200);
 }
 
@@ -96,14 +96,14 @@
     fleet testFleet({});
     testFleet.start();
     for (const char* endpoint : { "orderdesk-1", "orderdesk-2" })
-        testFleet.fault(endpoint, R"({"leaving":true})");
+        testFleet.setFaults(endpoint, R"({"leaving":true})");
     REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find("shard=service:orderdesk policy=reserve endpoints=0 ") != std::string::npos; }));
     auto refused = testFleet.book(1, "hire-12", "{}");
     CHECK(refused.status == 503);
     CHECK(refused.body.find("\"run\":\"not_run\"") != std::string::npos);
     CHECK(refused.header("Retry-After") != "");
     CHECK(testFleet.stat("orderdesk-1", "service_runs") == 0);
-    testFleet.fault("orderdesk-1", "{}");
+    testFleet.setFaults("orderdesk-1", "{}");
     CHECK(eventually([&] { return testFleet.book(2, "hire-12", "{}").status == 200; }));
     CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
 }
--- a/Tests/Promises/ConfigTest.cpp
+++ b/Tests/Promises/ConfigTest.cpp
@@ -15,10 +15,10 @@
 }
 
 /// Submits a limit record directly to a control VM with an operator's token.
-simple_answer submitLimit(const fleet& testFleet, int control, const std::string& token, int version, int rate)
+simple_response submitLimit(const fleet& testFleet, int control, const std::string& token, int version, int rate)
 {
     auto body = fmt::format(R"({{"records":[{{"kind":"limit","name":"alpha","version":{},"schema_version":1,"body":{{"rate":{},"burst":1000000}}}}]}})", version, rate);
-    return testFleet.call(testFleet.operators(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
+    return testFleet.call(testFleet.operatorAddress(control), "POST", "/v1/records", { { "Authorization", "Bearer " + token } }, body);
 }
 }
 
@@ -44,7 +44,7 @@
 // catches up after the partition ends.
 TEST_CASE("An isolated control VM neither accepts changes nor serves stale state", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     options.proxied = true;
     fleet testFleet(options);
     testFleet.start();
@@ -54,11 +54,11 @@
     INFO(applied.out << applied.err);
     CHECK(applied.code == 0);
     CHECK(submitLimit(testFleet, isolated, "test-token", 2, 1).status == 503);
-    auto read = testFleet.call(testFleet.operators(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
+    auto read = testFleet.call(testFleet.operatorAddress(isolated), "GET", "/v1/records", { { "Authorization", "Bearer test-token" } }, "");
     CHECK(read.status == 503);
     auto term = testFleet.status("term");
     testFleet.proxy().isolate(testFleet.ip(isolated), false);
-    CHECK(eventually([&] { return testFleet.call(testFleet.operators(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && testFleet.ready(testFleet.entryAdmin(isolated)); }));
+    CHECK(eventually([&] { return testFleet.call(testFleet.operatorAddress(isolated), "GET", "/v1/status", { { "Authorization", "Bearer test-token" } }, "").status != 0 && testFleet.isReady(testFleet.entryAdminAddress(isolated)); }));
     // Its return must not trigger an election.
     CHECK(testFleet.status("term") == term);
     CHECK(testFleet.command({ "get", "limit", "alpha" }).out.find("rate = 700000") != std::string::npos);
@@ -78,9 +78,9 @@
         REQUIRE(submitLimit(testFleet, leader, "test-token", version, 400000 + version).status == 200);
     testFleet.startControl(follower);
     testFleet.startEntry(2);
-    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(2)); }));
+    CHECK(eventually([&] { return testFleet.isReady(testFleet.entryAdminAddress(2)); }));
     auto revision = testFleet.status("revision");
-    CHECK(eventually([&] { return testFleet.metric(testFleet.entryAdmin(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
+    CHECK(eventually([&] { return testFleet.metric(testFleet.entryAdminAddress(2), "pistachiolatch_state{name=\"revision\"}") == revision; }));
     // With the leader killed, the quorum needs the restarted replica.
     testFleet.control(leader).kill();
     auto output = testFleet.command({ "get", "limit", "alpha" });
--- a/Tests/Promises/ControlStorageTest.cpp
+++ b/Tests/Promises/ControlStorageTest.cpp
@@ -27,7 +27,7 @@
 // Guards against a control process that exits repeatedly while its disk is full.
 TEST_CASE("A control process with a full disk keeps running and votes again once space is free", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     fleet testFleet(options);
     testFleet.start();
     int affected = testFleet.leader();
@@ -35,7 +35,7 @@
     testFleet.control(affected).refuseWrites(true);
     CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1) }).code == 0);
     // Longer than a supervisor waits before it restarts a process.
-    CHECK_FALSE(eventually([&] { return !testFleet.control(affected).running(); }, std::chrono::seconds(5)));
+    CHECK_FALSE(eventually([&] { return !testFleet.control(affected).isRunning(); }, std::chrono::seconds(5)));
     testFleet.control(affected).refuseWrites(false);
     int other = affected % 3 + 1;
     testFleet.control(other).kill();
@@ -48,7 +48,7 @@
 // Guards against a control process that exits at every start because its data folder is damaged.
 TEST_CASE("A control process with a damaged data folder keeps running and joins as a new replica once the folder is empty", "[promise]")
 {
-    fleet testFleet(fleet_shape {});
+    fleet testFleet(fleet_options {});
     testFleet.start();
     int leader = testFleet.leader();
     REQUIRE(leader > 0);
@@ -57,7 +57,7 @@
     testFleet.control(damaged).kill();
     std::ofstream(testFleet.dataFolder(damaged) + "/hard_state", std::ios::binary) << "damaged";
     testFleet.startControl(damaged);
-    CHECK_FALSE(eventually([&] { return !testFleet.control(damaged).running(); }, std::chrono::seconds(5)));
+    CHECK_FALSE(eventually([&] { return !testFleet.control(damaged).isRunning(); }, std::chrono::seconds(5)));
     CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1) }).code == 0);
     auto before = countMembershipChanges(testFleet, leader);
     for (const auto& file : std::filesystem::directory_iterator(testFleet.dataFolder(damaged)))
--- a/Tests/Promises/DoubleFaultsTest.cpp
+++ b/Tests/Promises/DoubleFaultsTest.cpp
@@ -10,9 +10,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape fiveControlOptions()
+fleet_options fiveControlOptions()
 {
-    fleet_shape options;
+    fleet_options options;
     options.controls = 5;
     options.disks = 3;
     return options;
@@ -61,7 +61,7 @@
     testFleet.entry(1).kill();
     CHECK(booking.get().status == 200);
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 110));
     CHECK(testFleet.book(2, "hire-1", "{}").header("Idempotent-Replay") == "true");
     CHECK(testFleet.stat("orderdesk-1", "service_runs") == 1);
@@ -84,7 +84,7 @@
     CHECK(testFleet.command({ "apply", writeLimitFile(testFleet, 1, 540000) }).code == 0);
     testFleet.startControl(restarted);
     testFleet.startEntry(2);
-    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(2)); }));
+    CHECK(eventually([&] { return testFleet.isReady(testFleet.entryAdminAddress(2)); }));
     testFleet.proxy().isolate(testFleet.ip(isolated), false);
     CHECK(eventually([&] {
         auto text = testFleet.command({ "status" }).out;
@@ -112,13 +112,13 @@
     for (int n = 1; n <= 5; ++n)
         testFleet.proxy().setRule(testFleet.ip(1), testFleet.ip(n), { .cut = n != 1 });
     // The control replica on VM 1 is cut off as well; if it led, the others elect a new leader.
-    CHECK(eventually([&] { return !testFleet.ready(testFleet.entryAdmin(1)); }));
+    CHECK(eventually([&] { return !testFleet.isReady(testFleet.entryAdminAddress(1)); }));
     auto refused = testFleet.complete(1, "hello", 5);
     CHECK(refused.status == 503);
     CHECK(refused.body.find("no_config") != std::string::npos);
     CHECK(testFleet.complete(2, "hello", 5).status == 200);
     for (int n = 1; n <= 5; ++n)
         testFleet.proxy().setRule(testFleet.ip(1), testFleet.ip(n), {});
-    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(1)); }));
+    CHECK(eventually([&] { return testFleet.isReady(testFleet.entryAdminAddress(1)); }));
     CHECK(eventually([&] { return testFleet.complete(1, "hello", 5).status == 200; }));
 }
--- a/Tests/Promises/HeldMemoryTest.cpp
+++ b/Tests/Promises/HeldMemoryTest.cpp
@@ -20,15 +20,15 @@
     testFleet.start();
     bool loseCancels = GENERATE(false, true);
     for (const char* endpoint : { "decode-1", "decode-2" })
-        testFleet.fault(endpoint, loseCancels ? R"({"lose_cancels":3})" : "{}");
+        testFleet.setFaults(endpoint, loseCancels ? R"({"lose_cancels":3})" : "{}");
     streaming_caller caller(testFleet, 1, prompt, 100);
     REQUIRE(caller.readUntil(expectedToken(prompt, 3)));
     CHECK(testFleet.statSum("held") > 0);
-    caller.leave();
+    caller.disconnect();
     CHECK(eventually([&] { return testFleet.statSum("held") == 0; }));
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_refusals_total{reason=\"caller_gone\"}") == "1");
     // A disconnect is no engine failure: the request is not retried, and no endpoint is removed from the pool as crashed.
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "");
     CHECK(testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos);
     // The pool's reservation is released as well.
     CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
@@ -37,13 +37,13 @@
 // Guards against missing a disconnect during the prefill, when no data is sent and only the close signals it.
 TEST_CASE("A caller that disconnects during the prefill frees the engine", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     options.endpointLines = "prefill_tokens_per_s = 10000\n";
     fleet testFleet(options);
     testFleet.start();
     streaming_caller caller(testFleet, 1, longPrompt, 100);
     REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
-    caller.leave();
+    caller.disconnect();
     CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 in_flight=0 ") != std::string::npos; }));
     CHECK(eventually([&] { return testFleet.statSum("held") == 0 && testFleet.statSum("prefills") >= 1; }));
     CHECK(testFleet.statSum("batch") == 0);
--- a/Tests/Promises/KeysTest.cpp
+++ b/Tests/Promises/KeysTest.cpp
@@ -18,7 +18,7 @@
         : m_socket(m_context)
         , m_key(std::move(key))
     {
-        auto address = testFleet.callers(entry);
+        auto address = testFleet.callerAddress(entry);
         auto colon = address.find(':');
         m_socket.connect({ asio::ip::make_address_v4(address.substr(0, colon)), 8080 });
     }
@@ -70,7 +70,7 @@
 // all new work once its lease has expired, and only then is the withdrawal in force.
 TEST_CASE("A withdrawn key is rejected at an isolated entry", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     options.proxied = true;
     fleet testFleet(options);
     testFleet.start();
@@ -84,7 +84,7 @@
     CHECK(withdrawn.out.find("in force everywhere") != std::string::npos);
     CHECK(caller.requestModels() == 503);
     testFleet.proxy().isolate(testFleet.ip(3), false);
-    CHECK(eventually([&] { return testFleet.ready(testFleet.entryAdmin(3)); }));
+    CHECK(eventually([&] { return testFleet.isReady(testFleet.entryAdminAddress(3)); }));
     CHECK(caller.requestModels() == 401);
 }
 
@@ -96,7 +96,7 @@
     CHECK(testFleet.complete(1, "hello", 5).status == 200);
     CHECK(testFleet.book(1, "b1", "{}").status == 200);
     http_headers headers { { "Authorization", "Bearer " + testFleet.key("alpha") }, { "X-Api-Key", testFleet.key("alpha") }, { "Cookie", testFleet.key("alpha") } };
-    CHECK(testFleet.call(testFleet.callers(2), "GET", "/services/orderdesk/stock", headers, "").status == 200);
+    CHECK(testFleet.call(testFleet.callerAddress(2), "GET", "/services/orderdesk/stock", headers, "").status == 200);
     CHECK(testFleet.stat("prefill-1", "key_seen") == 0);
 }
 
--- a/Tests/Promises/LeavingTest.cpp
+++ b/Tests/Promises/LeavingTest.cpp
@@ -17,10 +17,10 @@
     streaming_caller caller(testFleet, 1, prompt, 100);
     REQUIRE(caller.readUntil(expectedToken(prompt, 1)));
     std::string leaving = testFleet.stat("decode-1", "batch") > 0 ? "decode-1" : "decode-2";
-    testFleet.fault(leaving, R"({"leaving":true})");
+    testFleet.setFaults(leaving, R"({"leaving":true})");
     REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=3 ") != std::string::npos; }));
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 100));
     for (int i = 0; i < 6; ++i) {
         CHECK(testFleet.complete(i % 3 + 1, "prompt " + std::to_string(i), 5).status == 200);
@@ -33,11 +33,11 @@
 {
     fleet testFleet({});
     testFleet.start();
-    testFleet.fault("prefill-1", R"({"ignore_calls":true})");
+    testFleet.setFaults("prefill-1", R"({"ignore_calls":true})");
     REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=3 ") != std::string::npos; }));
     for (int i = 0; i < 4; ++i)
         CHECK(testFleet.complete(i % 3 + 1, "prompt " + std::to_string(i), 5).status == 200);
-    testFleet.fault("prefill-1", "{}");
+    testFleet.setFaults("prefill-1", "{}");
     CHECK(eventually([&] { return testFleet.command({ "status" }).out.find("policy=reserve endpoints=4 ") != std::string::npos; }));
 }
 
@@ -45,7 +45,7 @@
 // work, and the process exits with code 0.
 TEST_CASE("A graceful shutdown of an entry completes all running requests", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     options.endpointLines = "service_ms = 500\n";
     fleet testFleet(options);
     testFleet.start();
@@ -56,7 +56,7 @@
     REQUIRE(eventually([&] { return testFleet.stat("orderdesk-1", "service_runs") == 1; }));
     testFleet.entry(1).signal(SIGTERM);
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 100));
     CHECK(booking.get().status == 200);
     CHECK(testFleet.entry(1).wait() == 0);
@@ -80,7 +80,7 @@
     CHECK(testFleet.scheduler(owner).wait() == 0);
     CHECK(testFleet.complete(2, "after the stop", 5).status == 200);
     testFleet.startScheduler(owner);
-    REQUIRE(eventually([&] { return testFleet.ready(testFleet.schedulerAdmin(owner)); }));
+    REQUIRE(eventually([&] { return testFleet.isReady(testFleet.schedulerAdminAddress(owner)); }));
     testFleet.scheduler(testFleet.owner("model:advisor-llm")).kill();
     CHECK(testFleet.complete(3, "after the kill", 5).status == 200);
     caller.readAll();
--- a/Tests/Promises/LimitsUnderFaultTest.cpp
+++ b/Tests/Promises/LimitsUnderFaultTest.cpp
@@ -89,7 +89,7 @@
         while (!m_stop) {
             admitted_call call;
             call.sentAt = std::chrono::steady_clock::now();
-            auto response = testFleet.call(testFleet.callers(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
+            auto response = testFleet.call(testFleet.callerAddress(entry), "GET", "/services/orderdesk/stock", { { "Authorization", "Bearer " + testFleet.key("alpha") } }, "");
             call.answeredAt = std::chrono::steady_clock::now();
             if (response.status != 200)
                 continue;
@@ -110,7 +110,7 @@
 TEST_CASE("Rate and burst hold across all VMs while the bucket changes owners", "[promise]")
 {
     auto faultKind = GENERATE(std::string("kill"), std::string("freeze"), std::string("cut"));
-    fleet_shape options;
+    fleet_options options;
     options.records = records;
     options.schedulers = 3;
     options.proxied = faultKind == "cut";
@@ -137,7 +137,7 @@
             testFleet.scheduler(victim).signal(SIGCONT);
         else
             testFleet.proxy().isolate(testFleet.ip(victim), false);
-        REQUIRE(eventually([&] { return testFleet.ready(testFleet.schedulerAdmin(victim)); }));
+        REQUIRE(eventually([&] { return testFleet.isReady(testFleet.schedulerAdminAddress(victim)); }));
     }
     generator.stop();
     CHECK(generator.maxExcess() <= 0);
--- a/Tests/Promises/OrdersTest.cpp
+++ b/Tests/Promises/OrdersTest.cpp
@@ -11,7 +11,7 @@
 TEST_CASE("Endpoints are brought to their recorded roles with one model load at a time", "[promise]")
 {
     bool fencing = GENERATE(true, false);
-    fleet_shape options;
+    fleet_options options;
     options.prefill = 3;
     options.endpointLines = fencing ? "" : "fencing = false\n";
     fleet testFleet(options);
--- a/Tests/Promises/PoisonTest.cpp
+++ b/Tests/Promises/PoisonTest.cpp
@@ -6,9 +6,9 @@
 using namespace pistachiolatch::test;
 
 namespace {
-fleet_shape fivePrefillOptions()
+fleet_options fivePrefillOptions()
 {
-    fleet_shape options;
+    fleet_options options;
     options.prefill = 5;
     return options;
 }
@@ -22,7 +22,7 @@
 
 /// Checks that a 503 during an ownership change is limit_unreachable or no_scheduler, reports not_run and has
 /// Retry-After.
-void checkOwnerChangeError(const simple_answer& response)
+void checkOwnerChangeError(const simple_response& response)
 {
     INFO(response.body);
     bool isExpectedReason = response.body.find("\"limit_unreachable\"") != std::string::npos || response.body.find("\"no_scheduler\"") != std::string::npos;
@@ -87,7 +87,7 @@
     testFleet.start();
     REQUIRE(testFleet.complete(3, "a good request", 10).status == 200);
     testFleet.scheduler(testFleet.owner("model:advisor-llm")).kill();
-    simple_answer response;
+    simple_response response;
     CHECK(eventually([&] {
         response = testFleet.complete(3, "a good request", 10);
         if (response.status == 503)
@@ -113,7 +113,7 @@
         REQUIRE(eventually([&] { return testFleet.command({ "status" }).out.find(" in_flight=1 ") != std::string::npos; }));
         for (int i = 0; i < 40; ++i) {
             for (int endpoint = 101; endpoint <= 105; ++endpoint)
-                testFleet.proxy().breakAll(testFleet.ip(endpoint - 10));
+                testFleet.proxy().closeConnections(testFleet.ip(endpoint - 10));
             std::this_thread::sleep_for(milliseconds(50));
         }
     });
--- a/Tests/Promises/WholeAnswersTest.cpp
+++ b/Tests/Promises/WholeAnswersTest.cpp
@@ -34,11 +34,11 @@
     testFleet.start();
     streaming_caller caller(testFleet, 1, prompt, 60);
     REQUIRE(caller.readUntil(expectedToken(prompt, 5)));
-    testFleet.fault(findActiveDecodeEndpoint(testFleet), R"({"crash":true})");
+    testFleet.setFaults(findActiveDecodeEndpoint(testFleet), R"({"crash":true})");
     caller.readAll();
-    CHECK(caller.whole());
+    CHECK(caller.isComplete());
     CHECK(caller.text() == expectedText(prompt, 60));
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"decode_lost\"}") == "1");
 }
 
 // Guards against passing on tokens that an engine sends twice, as after a reconnect.
@@ -47,7 +47,7 @@
     fleet testFleet({});
     testFleet.start();
     for (const char* endpoint : { "decode-1", "decode-2" })
-        testFleet.fault(endpoint, R"({"duplicate_tokens":true})");
+        testFleet.setFaults(endpoint, R"({"duplicate_tokens":true})");
     auto response = testFleet.complete(2, prompt, 40);
     CHECK(response.status == 200);
     CHECK(response.body.find(expectedText(prompt, 40)) != std::string::npos);
@@ -59,9 +59,9 @@
 {
     fleet testFleet({});
     testFleet.start();
-    testFleet.fault("decode-1", R"({"lose_token":true})");
+    testFleet.setFaults("decode-1", R"({"lose_token":true})");
     checkCompleteResponses(testFleet, " hole ", 6, 30);
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_events_total{event=\"token_gap\"}") != "");
 }
 
 // Guards against disclosing another caller's response when an engine mixes up two streams. The entry detects the
@@ -70,23 +70,23 @@
 {
     fleet testFleet({});
     testFleet.start();
-    testFleet.fault("decode-1", R"({"cross_answers":true})");
+    testFleet.setFaults("decode-1", R"({"cross_answers":true})");
     checkCompleteResponses(testFleet, "", 6, 30);
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"answer_crossed\"}") != "");
 }
 
 // Guards against a truncated response that looks complete when no engine is left mid-stream. The caller gets an error
 // event and no end marker.
 TEST_CASE("A response that can't be completed never looks complete", "[promise]")
 {
-    fleet_shape options;
+    fleet_options options;
     options.decode = 1;
     fleet testFleet(options);
     testFleet.start();
-    testFleet.fault("decode-1", R"({"break_after_tokens":5})");
+    testFleet.setFaults("decode-1", R"({"break_after_tokens":5})");
     streaming_caller caller(testFleet, 1, prompt, 60);
     caller.readAll();
-    CHECK(!caller.whole());
+    CHECK(!caller.isComplete());
     CHECK(caller.received().find("\"run\":\"may_have_run\"") != std::string::npos);
     CHECK(caller.received().find("\r\n0\r\n\r\n") == std::string::npos);
 }
@@ -97,8 +97,8 @@
 {
     fleet testFleet({});
     testFleet.start();
-    testFleet.fault("decode-1", R"({"stall_transfers":true})");
+    testFleet.setFaults("decode-1", R"({"stall_transfers":true})");
     checkCompleteResponses(testFleet, " stall ", 4, 20);
-    CHECK(testFleet.metric(testFleet.entryAdmin(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
+    CHECK(testFleet.metric(testFleet.entryAdminAddress(1), "pistachiolatch_retries_total{reason=\"transfer_stalled\"}") != "");
     CHECK(eventually([&] { return testFleet.statSum("held") == 0; }));
 }
